--- a/chestnuttide/workloads/__init__.py
+++ b/chestnuttide/workloads/__init__.py
@@ -1,10 +1,10 @@
-"""Decisions of a service's owner about its jobs, runs and workers."""
+"""Scheduling decisions of a service's owner: jobs, runs and workers."""
 
+from chestnuttide.workloads import _advisor_queries
+from chestnuttide.workloads import _incarnations
 from chestnuttide.workloads import _lifecycle
-from chestnuttide.workloads import _lifetimes
-from chestnuttide.workloads import _looks
 from chestnuttide.workloads import _planning
-from chestnuttide.workloads import _questions
+from chestnuttide.workloads import _poll_replies
 from chestnuttide.workloads import _records
 from chestnuttide.workloads import _specs
 from chestnuttide.workloads import _state
@@ -16,11 +16,11 @@
 Job = _state.Job
 JobSpec = _specs.JobSpec
 JobState = _state.JobState
-Observation = _looks.Observation
+Observation = _poll_replies.Observation
 Phase = _state.Phase
 Plan = _planning.Plan
 Pool = _state.Pool
-Question = _questions.Question
+Question = _advisor_queries.Question
 Queue = _specs.Queue
 Run = _state.Run
 StepAdvice = _state.StepAdvice
@@ -30,39 +30,39 @@
 UnitState = _state.UnitState
 Worker = _state.Worker
 WorkerReport = _specs.WorkerReport
-acknowledged_end = _looks.acknowledged_end
+acknowledged_end = _poll_replies.acknowledged_end
 add_job = _lifecycle.add_job
-apply_look = _looks.apply_look
+apply_look = _poll_replies.apply_look
 apply_progress = _records.apply_progress
-begin_lifetime = _lifetimes.begin_lifetime
+begin_lifetime = _incarnations.begin_lifetime
 cancel_job = _lifecycle.cancel_job
-confirm_start = _looks.confirm_start
+confirm_start = _poll_replies.confirm_start
 decode_job = _records.decode_job
 encode_end = _records.encode_end
 encode_job = _records.encode_job
 encode_progress = _records.encode_progress
-end_lifetime = _lifetimes.end_lifetime
+end_lifetime = _incarnations.end_lifetime
 end_run = _lifecycle.end_run
 evacuate = _supervision.evacuate
 find_stalled = _supervision.find_stalled
-former_lifetimes = _lifetimes.former_lifetimes
-hold_deadline_ms = _looks.hold_deadline_ms
-is_finished = _looks.is_finished
+former_lifetimes = _incarnations.former_lifetimes
+hold_deadline_ms = _poll_replies.hold_deadline_ms
+is_finished = _poll_replies.is_finished
 is_usable = _planning.is_usable
-lapse_silent_worker = _looks.lapse_silent_worker
-lease_deadline_ms = _looks.lease_deadline_ms
+lapse_silent_worker = _poll_replies.lapse_silent_worker
+lease_deadline_ms = _poll_replies.lease_deadline_ms
 make_plan = _planning.make_plan
-note_advice = _questions.note_advice
-note_clock = _looks.note_clock
-note_grant = _looks.note_grant
-note_question = _questions.note_question
+note_advice = _advisor_queries.note_advice
+note_clock = _poll_replies.note_clock
+note_grant = _poll_replies.note_grant
+note_question = _advisor_queries.note_question
 pace_fillers = _supervision.pace_fillers
 release_due_occurrences = _lifecycle.release_due_occurrences
 step_of = _lifecycle.step_of
-note_stored = _looks.note_stored
+note_stored = _poll_replies.note_stored
 stop_runs = _lifecycle.stop_runs
 stop_stalled = _supervision.stop_stalled
-update_worker = _looks.update_worker
+update_worker = _poll_replies.update_worker
 worker_key = _state.worker_key
 
 __all__ = [
--- a/chestnuttide/workloads/_questions.py
+++ b/chestnuttide/workloads/_advisor_queries.py
@@ -1,4 +1,4 @@
-"""Questions to the policy advisor, and what its answers say."""
+"""Advisor queries that are needed, and the results of answered ones."""
 
 import collections.abc
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen(kw_only=True, slots=True, eq=False)
 class Question:
-    """A call to the advisor that should be made.
+    """An advisor query that should be sent.
 
     Attributes
     ----------
     job : Job
-        The job.
+        Job that the step belongs to.
     occurrence, step : int
-        The step that is asked for.
+        The step that the query is about.
     workers : tuple of Worker
-        Workers that are named.
+        Workers that the advisor has to assess for the step.
     """
 
     job: _state.Job
@@ -29,19 +29,27 @@
 
     @property
     def cost_s(self) -> float:
-        """Seconds that the advisor takes."""
-        return cost_s(self.job.spec.queue.advice, len(self.workers))
+        """Expected duration of the call, in seconds."""
+        return call_duration_s(self.job.spec.queue.advice, len(self.workers))
 
 
-def cost_s(advice: _specs.Advice, workers: int) -> float:
-    """Return the seconds that a call takes which names some workers."""
+def call_duration_s(advice: _specs.Advice, workers: int) -> float:
+    """Return the expected duration of a query, in seconds.
+
+    Parameters
+    ----------
+    advice : Advice
+        Advisor policy of the queue.
+    workers : int
+        Number of workers that the query names.
+    """
     return advice.decide_s + advice.per_worker_s * workers
 
 
 def note_question(question: Question) -> None:
-    """Note that a question is under way."""
+    """Record that an advisor query is in flight."""
     advice = question.job.advice[(question.occurrence, question.step)]
-    advice.asking = {each.key for each in question.workers}
+    advice.in_flight = {worker.key for worker in question.workers}
 
 
 def note_advice(
@@ -51,11 +59,23 @@
     now: float,
     retry_s: float,
 ) -> None:
-    """Take over the advisor's answer, or its failure as None."""
+    """Record the result of an advisor query.
+
+    Parameters
+    ----------
+    question : Question
+        The query.
+    tickets : mapping of str to str, or None
+        Ticket of each allowed worker by worker id; None if the query failed.
+    now : float
+        Monotonic time of the result; tickets are valid from then on.
+    retry_s : float
+        Delay after a failure before the step is queried again, in seconds.
+    """
     advice = question.job.advice.setdefault(
         (question.occurrence, question.step), _state.StepAdvice()
     )
-    advice.asking = set()
+    advice.in_flight = set()
     if tickets is None:
         advice.retry_at = now + retry_s
         return
--- /dev/null
+++ b/chestnuttide/workloads/_free_capacity.py
@@ -0,0 +1,274 @@
+"""Free capacity of workers, expected waiting times and placement scores."""
+
+import math
+
+import attrs
+
+from chestnuttide import model
+from chestnuttide.workloads import _lifecycle
+from chestnuttide.workloads import _specs
+from chestnuttide.workloads import _state
+
+# Share of each worker's processors that is reserved for the service's most
+# urgent queue while the service is busy, so that its work starts at once at
+# the peak. While less than BUSY_SHARE of the processors is in use, all work
+# has to start, so nothing is reserved.
+URGENT_RESERVE_SHARE = 0.15
+BUSY_SHARE = 0.5
+
+# Weights of a candidate's score, in units of a worker's whole capacity.
+FILLER_BESIDE_SERVING_WEIGHT = 4.0
+SERVING_BESIDE_FILLER_WEIGHT = 2.0
+STEP_CROWDING_WEIGHT = 0.3
+REMOTE_DATA_WEIGHT = 1.0
+FAILURE_WEIGHT = 0.5
+OVERCOMMIT_WEIGHT = 3.0
+
+# Tasks that take at least this share of a worker are packed, so that other
+# workers stay empty enough for tasks of this size.
+LARGE_TASK_SHARE = 0.25
+
+# Least expected time of a run that has not reported progress yet.
+MIN_RUN_S = 0.5
+
+
+@attrs.frozen(kw_only=True, slots=True, eq=False)
+class Demand:
+    """Requirements of each task of a step.
+
+    Attributes
+    ----------
+    spec : StepSpec
+        The step.
+    step_runs_key : (str, int, int)
+        Job, occurrence and number of the step; a key of `Worker.step_runs`.
+    cpu_millis, memory_mb, accelerators : int
+        Capacity that a task allocates.
+    urgent : bool
+        Whether it may use the processors that are reserved for urgent work.
+    """
+
+    spec: _specs.StepSpec
+    step_runs_key: tuple[str, int, int]
+    cpu_millis: int
+    memory_mb: int
+    accelerators: int
+    urgent: bool
+
+
+@attrs.define(kw_only=True, slots=True)
+class CapacityView:
+    """Free capacity as one planning round sees it.
+
+    Attributes
+    ----------
+    now : float
+        Time of the round.
+    top_priority : int
+        Priority of the service's most urgent queue.
+    workers : dict of str to Worker
+        Workers on which new runs may be placed, by key.
+    busy : bool
+        Whether at least `BUSY_SHARE` of the service's processors is in use.
+    reserved : dict of str to Resources
+        Capacity reserved for more urgent steps of the round, by worker.
+    """
+
+    now: float
+    top_priority: int
+    workers: dict[str, _state.Worker]
+    busy: bool = False
+    reserved: dict[str, model.Resources] = attrs.field(factory=dict)
+
+
+def make_view(
+    pool: _state.Pool, workers: list[_state.Worker], *, now: float
+) -> CapacityView:
+    """Return the free capacity at the start of a planning round."""
+    listed = [each for each in pool.workers.values() if each.listed]
+    capacity = sum(each.report.capacity.cpu_millis for each in listed)
+    used = sum(each.used.cpu_millis for each in listed)
+    return CapacityView(
+        now=now,
+        top_priority=pool.top_priority,
+        workers={each.key: each for each in workers},
+        busy=used >= BUSY_SHARE * capacity,
+    )
+
+
+def make_demand(
+    view: CapacityView, job: _state.Job, step_key: tuple[int, int]
+) -> Demand:
+    """Return the requirements of each task of a step."""
+    spec = job.spec.steps[step_key[1]]
+    need = _state.allocated_need(spec)
+    return Demand(
+        spec=spec,
+        step_runs_key=(job.spec.id, *step_key),
+        cpu_millis=need.cpu_millis,
+        memory_mb=need.memory_mb,
+        accelerators=need.accelerators,
+        urgent=spec.lasting or job.spec.queue.priority <= view.top_priority,
+    )
+
+
+def reserve_capacity(
+    view: CapacityView, worker: _state.Worker, need: model.Resources
+) -> None:
+    """Reserve capacity against less urgent steps for the rest of a round."""
+    reserved = view.reserved.get(worker.key, model.ZERO)
+    view.reserved[worker.key] = model.add(reserved, need)
+
+
+def reserve_worker(view: CapacityView, worker: _state.Worker) -> None:
+    """Reserve a whole worker against less urgent steps for the round."""
+    view.reserved[worker.key] = worker.report.capacity
+
+
+def can_ever_run(worker: _state.Worker, demand: Demand) -> bool:
+    """Return whether a worker could run a task of a step when empty."""
+    capacity = worker.report.capacity
+    label = demand.spec.label
+    return (
+        demand.cpu_millis <= capacity.cpu_millis
+        and demand.memory_mb <= capacity.memory_mb
+        and demand.accelerators <= capacity.accelerators
+        and (not label or label in worker.report.labels)
+    )
+
+
+def count_fitting_tasks(
+    view: CapacityView, worker: _state.Worker, demand: Demand
+) -> int:
+    """Return how many more tasks of a step fit on a worker now."""
+    capacity, used = worker.report.capacity, worker.used
+    cpu = capacity.cpu_millis - used.cpu_millis
+    memory = capacity.memory_mb - used.memory_mb
+    accelerators = capacity.accelerators - used.accelerators
+    reserved = view.reserved.get(worker.key)
+    if reserved is not None:
+        cpu -= reserved.cpu_millis
+        memory -= reserved.memory_mb
+        accelerators -= reserved.accelerators
+    if view.busy and not demand.urgent:
+        cpu -= int(URGENT_RESERVE_SHARE * capacity.cpu_millis)
+    fitting = _count_tasks_within(demand, cpu, memory, accelerators)
+    if fitting and demand.spec.spread_limit:
+        taken = worker.step_runs.get(demand.step_runs_key, 0)
+        fitting = min(fitting, demand.spec.spread_limit - taken)
+    return max(0, fitting)
+
+
+def count_fitting_tasks_if_empty(worker: _state.Worker, demand: Demand) -> int:
+    """Return how many tasks of a step fit on an otherwise empty worker."""
+    capacity = worker.report.capacity
+    fitting = _count_tasks_within(
+        demand,
+        capacity.cpu_millis,
+        capacity.memory_mb,
+        capacity.accelerators,
+    )
+    return min(fitting, demand.spec.spread_limit or fitting)
+
+
+def _count_tasks_within(
+    demand: Demand, cpu: int, memory: int, accelerators: int
+) -> int:
+    if (
+        cpu < demand.cpu_millis
+        or memory < demand.memory_mb
+        or accelerators < demand.accelerators
+    ):
+        return 0
+    fitting = demand.spec.count
+    if demand.cpu_millis:
+        fitting = min(fitting, cpu // demand.cpu_millis)
+    if demand.memory_mb:
+        fitting = min(fitting, memory // demand.memory_mb)
+    if demand.accelerators:
+        fitting = min(fitting, accelerators // demand.accelerators)
+    return fitting
+
+
+def expected_wait_s(
+    view: CapacityView, worker: _state.Worker, demand: Demand
+) -> float:
+    """Return the expected seconds until a task of a step fits on a worker."""
+    capacity, used = worker.report.capacity, worker.used
+    cpu = capacity.cpu_millis - used.cpu_millis - demand.cpu_millis
+    memory = capacity.memory_mb - used.memory_mb - demand.memory_mb
+    accelerators = (
+        capacity.accelerators - used.accelerators - demand.accelerators
+    )
+    if cpu >= 0 and memory >= 0 and accelerators >= 0:
+        return 0.0
+    ending_runs = sorted(
+        (
+            (expected_remaining_s(run, view.now), run)
+            for run in worker.runs.values()
+        ),
+        key=lambda pair: pair[0],
+    )
+    for wait_s, run in ending_runs:
+        cpu += run.need.cpu_millis
+        memory += run.need.memory_mb
+        accelerators += run.need.accelerators
+        if cpu >= 0 and memory >= 0 and accelerators >= 0:
+            return wait_s
+    return math.inf
+
+
+def expected_remaining_s(run: _state.Run, now: float) -> float:
+    """Return the expected remaining run time in seconds."""
+    step = _lifecycle.step_of(run.unit, run.job)
+    if run.stopping:
+        return 0.0
+    if step.lasting:
+        return math.inf
+    if run.phase != _state.Phase.RUNNING or run.percent <= 0:
+        return max(MIN_RUN_S, step.estimate_s)
+    elapsed_s = max(0.0, run.progress_at - run.confirmed_at)
+    expected_s = elapsed_s * (100.0 - run.percent) / run.percent
+    return max(0.0, expected_s - (now - run.progress_at))
+
+
+def score(worker: _state.Worker, demand: Demand) -> float:
+    """Return the placement score of a worker; the lowest score wins."""
+    step = demand.spec
+    capacity, used = worker.report.capacity, worker.used
+    share = max(
+        (worker.requested_cpu_millis + step.need.cpu_millis)
+        / max(1, capacity.cpu_millis),
+        (used.memory_mb + demand.memory_mb) / max(1, capacity.memory_mb),
+        (used.accelerators + demand.accelerators)
+        / max(1, capacity.accelerators),
+    )
+    total = share if _prefers_empty_workers(worker, demand) else 1.0 - share
+    if share > 1.0:
+        total += OVERCOMMIT_WEIGHT * (share - 1.0)
+    if step.filler and worker.serving:
+        total += FILLER_BESIDE_SERVING_WEIGHT
+    if worker.fillers and step.latency_target_ms > 0:
+        total += SERVING_BESIDE_FILLER_WEIGHT
+    if step.lasting:
+        taken = worker.step_runs.get(demand.step_runs_key, 0)
+        total += STEP_CROWDING_WEIGHT * taken
+    if step.data_rack and step.data_rack != worker.report.rack:
+        total += REMOTE_DATA_WEIGHT
+    return total + FAILURE_WEIGHT * worker.consecutive_failures
+
+
+def _prefers_empty_workers(worker: _state.Worker, demand: Demand) -> bool:
+    """Return whether tasks are spread over workers instead of packed.
+
+    Long-running tasks slow each other down, and small urgent tasks should not
+    all depend on one worker. All other tasks are packed.
+    """
+    if demand.spec.lasting:
+        return True
+    capacity = worker.report.capacity
+    return (
+        demand.urgent
+        and demand.cpu_millis < LARGE_TASK_SHARE * capacity.cpu_millis
+        and demand.memory_mb < LARGE_TASK_SHARE * capacity.memory_mb
+    )
--- a/chestnuttide/workloads/_lifetimes.py
+++ b/chestnuttide/workloads/_incarnations.py
@@ -1,4 +1,4 @@
-"""What becomes of a worker's runs when it starts again under its id."""
+"""Handles the runs of a worker that restarts under the same id."""
 
 import attrs
 
@@ -6,15 +6,16 @@
 from chestnuttide.workloads import _specs
 from chestnuttide.workloads import _state
 
-# A start names the worker's id, which the new lifetime shares, and its clock
-# begins anew. Only an answered stop shows that the start will not take effect.
+# Lease expiry of a start that may reach a new incarnation. Starts name only
+# the worker's id, which the new incarnation shares, and its clock is reset.
+# Only an answered stop shows that the start will not take effect.
 NEVER_EXPIRES_MS = 2**62
 
 
 def former_lifetimes(
     pool: _state.Pool, report: _specs.WorkerReport
 ) -> list[_state.Worker]:
-    """Return the lifetimes that a worker's report shows to be over."""
+    """Return the incarnations that a worker's report shows to have ended."""
     return [
         worker
         for worker in pool.workers.values()
@@ -27,7 +28,13 @@
 def end_lifetime(
     pool: _state.Pool, worker: _state.Worker, *, now: float, now_unix_s: float
 ) -> list[_state.Run]:
-    """End all ordered runs of a lifetime that is over; return them."""
+    """End the runs of a former incarnation whose start may have been sent.
+
+    Returns
+    -------
+    list of Run
+        The ended runs.
+    """
     worker.listed = False
     lost = [
         run
@@ -44,17 +51,18 @@
 def begin_lifetime(
     pool: _state.Pool, worker: _state.Worker, born_ms: int
 ) -> list[_state.Run]:
-    """Hand the runs that a new lifetime may have begun over to it.
+    """Move the runs that a new incarnation may have started over to it.
 
-    A start that no look at the former lifetime has confirmed may have reached
-    the new one. It stays uncertain until a look at the new lifetime lists it,
-    or a stop for it is answered. The new lifetime gets no further runs before
-    the store lists it, because its capacity may differ.
+    A start that no poll reply of the former incarnation has listed may have
+    reached the new one. Its run is uncertain until a poll reply of the new
+    incarnation lists it, or until a stop for it is answered. The new
+    incarnation gets no further runs before the store lists it, because its
+    capacity may differ.
 
     Returns
     -------
     list of Run
-        The runs that were handed over.
+        The moved runs.
     """
     report = attrs.evolve(worker.report, born_ms=born_ms)
     key = _state.worker_key(report)
@@ -67,17 +75,17 @@
             listed=False,
         )
         pool.workers[key] = successor
-    handed = [
+    moved = [
         run
         for run in worker.runs.values()
         if run.phase != _state.Phase.PLANNED and not run.listed
     ]
-    for run in handed:
-        _state.release(worker, run)
+    for run in moved:
+        _state.deallocate(worker, run)
         run.worker_key = key
         run.phase = _state.Phase.UNCERTAIN
         if run.deadline_ms >= 0:
             run.deadline_ms = NEVER_EXPIRES_MS
         _state.mark_changed(run.job)
-        _state.occupy(successor, run)
-    return handed
+        _state.allocate(successor, run)
+    return moved
--- a/chestnuttide/workloads/_lifecycle.py
+++ b/chestnuttide/workloads/_lifecycle.py
@@ -1,21 +1,21 @@
-"""Life of jobs and units: acceptance, due times, ends and cancellation."""
+"""Life cycle of jobs and units, from acceptance to completion."""
 
 import collections.abc
 
 from chestnuttide.workloads import _specs
 from chestnuttide.workloads import _state
 
-# A unit that failed is not planned again at once, so that a worker that
-# fails everything does not use up its attempts before it is noticed.
-RETRY_PAUSE_S = 0.05
+# Delay before a failed unit is planned again. Without it, a worker on which
+# everything fails could use up the unit's attempts before it is quarantined.
+RETRY_DELAY_S = 0.05
 
-# A lasting task that fails at once is restarted with this pause.
-LASTING_RETRY_PAUSE_S = 0.2
+# Delay before a failed long-running task is restarted.
+LONG_RUNNING_RETRY_DELAY_S = 0.2
 
-# Failed ends in a row, of two jobs or more, after which a worker is set
-# aside, and for how long.
-FAILURES_TO_SHUN = 3
-SHUN_S = 6.0
+# Consecutive failures, of at least two jobs, after which a worker is
+# quarantined, and the duration of the quarantine.
+QUARANTINE_FAILURES = 3
+FAILURE_QUARANTINE_S = 6.0
 
 
 def add_job(
@@ -25,7 +25,7 @@
     now: float,
     now_unix_s: float,
 ) -> _state.Job:
-    """Take a stored job into the pool."""
+    """Add a stored job to the pool."""
     job = _state.Job(spec=spec, accepted_at=now)
     pool.jobs[spec.id] = job
     pool.active[spec.id] = job
@@ -36,7 +36,7 @@
 def release_due_occurrences(
     pool: _state.Pool, job: _state.Job, now_unix_s: float
 ) -> None:
-    """Make the units of each occurrence whose time has come."""
+    """Create the units of all occurrences that are due."""
     total = max(1, job.spec.occurrences)
     while job.occurrences_due < total:
         occurrence = job.occurrences_due
@@ -47,11 +47,11 @@
                 return
         job.occurrences_due += 1
         for number, step in enumerate(job.spec.steps):
-            for unit in _units_of(occurrence, number, step):
+            for unit in _make_units(occurrence, number, step):
                 _state.add_unit(job, unit)
 
 
-def _units_of(
+def _make_units(
     occurrence: int, number: int, step: _specs.StepSpec
 ) -> collections.abc.Iterator[_state.Unit]:
     if step.gang:
@@ -64,9 +64,9 @@
 
 
 def is_step_ready(job: _state.Job, occurrence: int, number: int) -> bool:
-    """Return whether all earlier steps that a step waits for are done."""
-    for earlier in job.spec.steps[number].after:
-        progress = job.steps[(occurrence, earlier)]
+    """Return whether all steps that a step depends on are done."""
+    for predecessor in job.spec.steps[number].after:
+        progress = job.steps[(occurrence, predecessor)]
         if progress.done < progress.total:
             return False
     return True
@@ -109,11 +109,11 @@
 
 
 def stop_runs(
-    pool: _state.Pool, unit: _state.Unit, *, but: int | None = None
+    pool: _state.Pool, unit: _state.Unit, *, except_number: int | None = None
 ) -> None:
-    """Ask for the stop of a unit's runs, and drop those never ordered."""
+    """Mark a unit's runs for stopping, and drop those still only planned."""
     for run in list(unit.runs):
-        if run.number == but:
+        if run.number == except_number:
             continue
         if run.phase == _state.Phase.PLANNED:
             drop_run(pool, run)
@@ -122,10 +122,10 @@
 
 
 def drop_run(pool: _state.Pool, run: _state.Run) -> None:
-    """Forget a run that has ended or provably never began."""
+    """Remove a run that has ended or is known never to have started."""
     worker = pool.workers.get(run.worker_key)
     if worker is not None:
-        _state.release(worker, run)
+        _state.deallocate(worker, run)
     if run in run.unit.runs:
         run.unit.runs.remove(run)
 
@@ -139,7 +139,7 @@
     now: float,
     now_unix_s: float,
 ) -> None:
-    """Apply the end of a run to its unit and its job.
+    """Apply the completion of a run to its unit and its job.
 
     Parameters
     ----------
@@ -148,10 +148,11 @@
     run : Run
         The run.
     how : str
-        The worker's word for the end; ``never`` for a run that has not
-        begun, and ``lost`` for one whose worker is gone.
+        How the run ended, as the worker reports it; ``never`` for a run that
+        did not start, and ``lost`` for one that its worker no longer runs or
+        whose worker is gone.
     checkpoint : str
-        Progress saved at the end; empty if there is none.
+        Checkpoint saved at the end; empty if there is none.
     now, now_unix_s : float
         Monotonic and wall time.
     """
@@ -168,51 +169,51 @@
         unit.checkpoint = checkpoint
     if how == "done" and not step.lasting:
         _state.set_unit_state(job, unit, _state.UnitState.DONE)
-        stop_runs(pool, unit, but=run.number if step.gang else None)
+        stop_runs(pool, unit, except_number=run.number if step.gang else None)
         _complete_if_done(pool, job, now_unix_s)
         return
     if how == "failed":
-        _note_failure(pool, run, now=now)
+        _record_failure(pool, run, now=now)
         limit = job.spec.queue.attempt_limit
         if not step.lasting and unit.failures >= limit:
             _state.set_unit_state(job, unit, _state.UnitState.FAILED)
             _end_job(pool, job, _state.JobState.FAILED, now_unix_s)
             return
     if step.gang:
-        # A gang cannot go on without one of its members.
+        # A gang cannot continue without one of its members.
         stop_runs(pool, unit)
     if not unit.runs:
         _state.set_unit_state(job, unit, _state.UnitState.WAITING)
 
 
-def _note_failure(pool: _state.Pool, run: _state.Run, *, now: float) -> None:
+def _record_failure(pool: _state.Pool, run: _state.Run, *, now: float) -> None:
     unit = run.unit
     if run.number not in unit.failed_runs:
         unit.failed_runs.add(run.number)
         unit.failures += 1
     unit.avoided.add(run.worker_key)
-    lasting = step_of(unit, run.job).lasting
+    long_running = step_of(unit, run.job).lasting
     unit.not_before = now + (
-        LASTING_RETRY_PAUSE_S if lasting else RETRY_PAUSE_S
+        LONG_RUNNING_RETRY_DELAY_S if long_running else RETRY_DELAY_S
     )
     worker = pool.workers.get(run.worker_key)
     if worker is None:
         return
-    worker.failures_in_row += 1
+    worker.consecutive_failures += 1
     worker.failed_jobs.add(run.job.spec.id)
     if (
-        worker.failures_in_row >= FAILURES_TO_SHUN
+        worker.consecutive_failures >= QUARANTINE_FAILURES
         and len(worker.failed_jobs) > 1
     ):
-        worker.shunned_until = now + SHUN_S
+        worker.quarantined_until = now + FAILURE_QUARANTINE_S
 
 
-def note_success(worker: _state.Worker) -> None:
-    """Trust a worker again after a good end."""
-    worker.failures_in_row = 0
+def record_success(worker: _state.Worker) -> None:
+    """Clear a worker's failures and its quarantine after a success."""
+    worker.consecutive_failures = 0
     worker.failed_jobs.clear()
     worker.stalls = 0
-    worker.shunned_until = 0.0
+    worker.quarantined_until = 0.0
 
 
 def _complete_if_done(
--- a/chestnuttide/workloads/_planning.py
+++ b/chestnuttide/workloads/_planning.py
@@ -1,8 +1,8 @@
-"""Choice of the workers for waiting units, and of questions to the advisor.
+"""Assigns waiting units to workers and selects advisor queries.
 
-Steps are planned in order of urgency. A step that finds no room keeps the
-workers that it waits for from less urgent steps, so that large tasks are not
-overtaken for ever by small ones.
+Steps are planned in order of urgency. A step that does not fit anywhere
+reserves the workers it waits for against less urgent steps, so that small
+tasks cannot starve large ones.
 """
 
 import collections.abc
@@ -12,75 +12,76 @@
 
 import attrs
 
+from chestnuttide.workloads import _advisor_queries
+from chestnuttide.workloads import _free_capacity
 from chestnuttide.workloads import _lifecycle
-from chestnuttide.workloads import _questions
-from chestnuttide.workloads import _rooms
 from chestnuttide.workloads import _state
 
-# A start takes a store write and a call, so a ticket must be valid for longer.
+# A ticket must stay valid for the store write and the call of a start.
 TICKET_MARGIN_S = 0.15
 
-# The first question about a step names as many workers as add this share to
-# the time of a call; the answer does not change for the step.
-NAMED_SHARE = 0.5
+# A query names so many workers that they lengthen the call by this share at
+# most. Whether a worker may run a step never changes, so naming many at once
+# saves later calls.
+QUERY_TIME_SHARE = 0.5
 
-# Share of the named workers that the advisor is expected to allow, until
-# answers about the step show it.
-EXPECTED_GOOD_SHARE = 0.3
+# Least share of the named workers that the advisor is expected to allow. A
+# higher share in earlier answers about the step takes its place.
+EXPECTED_ALLOWED_SHARE = 0.3
 
-# On a service that is not busy, a full worker is kept from less urgent work
-# for this long at most: the platform takes work that waits for 3 s beside
-# free room as lost.
-KEEP_IDLE_S = 2.0
+# On a service that is not busy, a full worker is reserved against less urgent
+# work for this long at most: the platform treats work that waits for 3 s
+# although there is free capacity as lost.
+IDLE_RESERVATION_S = 2.0
 
-# Workers with room for a task of a step, and their scores, by key.
-_Places: typing.TypeAlias = dict[str, tuple[float, _state.Worker]]
+# Workers with free capacity for a task of a step: score and worker, by key.
+_ScoredWorkers: typing.TypeAlias = dict[str, tuple[float, _state.Worker]]
 
 _score_of = operator.itemgetter(0)
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Plan:
-    """What to do next.
+    """Result of one planning round.
 
     Attributes
     ----------
     runs : tuple of Run
         Planned runs; each starts once its job's record is stored.
     questions : tuple of Question
-        Calls to the advisor, most urgent first.
+        Advisor queries, most urgent first.
     """
 
     runs: tuple[_state.Run, ...]
-    questions: tuple[_questions.Question, ...]
+    questions: tuple[_advisor_queries.Question, ...]
 
 
 @attrs.frozen(kw_only=True, slots=True, eq=False)
-class _Step:
-    """A step with units that wait.
+class _WaitingStep:
+    """A step with units that are ready to start.
 
     Attributes
     ----------
     job : Job
-        The job.
+        Job that the step belongs to.
     key : (int, int)
         Occurrence and step.
     demand : Demand
-        What each of its tasks asks of a worker.
+        Requirements of each of its tasks.
     waiting : list of Unit
-        Units that could start.
+        Units that are ready to start.
     """
 
     job: _state.Job
     key: tuple[int, int]
-    demand: _rooms.Demand
+    demand: _free_capacity.Demand
     waiting: list[_state.Unit]
 
 
 def make_plan(pool: _state.Pool, *, now: float) -> Plan:
-    """Place what can be placed, and say what the advisor is asked."""
+    """Place waiting units on workers and select advisor queries."""
     runs: list[_state.Run] = []
-    questions: list[_questions.Question] = []
+    queries: list[_advisor_queries.Question] = []
     usable = [
         worker
         for worker in pool.workers.values()
@@ -88,43 +89,43 @@
     ]
     if not usable:
         return Plan(runs=(), questions=())
-    rooms = _rooms.make_rooms(pool, usable, now=now)
-    for step in _waiting_steps(pool, rooms):
-        planned, question = _plan_step(rooms, step)
+    view = _free_capacity.make_view(pool, usable, now=now)
+    for step in _waiting_steps(pool, view):
+        planned, query = _plan_step(view, step)
         runs.extend(planned)
-        if question is not None:
-            questions.append(question)
-    return Plan(runs=tuple(runs), questions=tuple(questions))
+        if query is not None:
+            queries.append(query)
+    return Plan(runs=tuple(runs), questions=tuple(queries))
 
 
 def is_usable(worker: _state.Worker, now: float) -> bool:
-    """Return whether a worker may get new runs."""
+    """Return whether new runs may be placed on a worker."""
     return (
         worker.listed
         and not worker.report.draining
         and worker.seen_at > 0
         and worker.failed_looks == 0
-        and now >= worker.shunned_until
+        and now >= worker.quarantined_until
     )
 
 
 def _urgency(job: _state.Job) -> tuple[bool, int, float]:
-    """Return the order of a job; lasting tasks come before all others.
+    """Return a job's sort key; jobs with long-running tasks come first.
 
-    They are few, and a lasting task that is away is missed all the time that
-    it waits, however full the service is.
+    They are few, and a long-running task is unavailable for as long as it
+    waits, however busy the service is.
     """
     queue = job.spec.queue
     return (
-        not job.is_lasting,
+        not job.is_long_running,
         queue.priority,
         job.accepted_at + queue.latency_objective_s,
     )
 
 
 def _waiting_steps(
-    pool: _state.Pool, rooms: _rooms.Rooms
-) -> collections.abc.Iterator[_Step]:
+    pool: _state.Pool, view: _free_capacity.CapacityView
+) -> collections.abc.Iterator[_WaitingStep]:
     for job in sorted(pool.active.values(), key=_urgency):
         for key, progress in job.steps.items():
             if not progress.waiting:
@@ -135,48 +136,48 @@
                 unit
                 for unit in _lifecycle.step_units(job, *key)
                 if unit.state == _state.UnitState.WAITING
-                and rooms.now >= unit.not_before
+                and view.now >= unit.not_before
             ]
             if waiting:
-                yield _Step(
+                yield _WaitingStep(
                     job=job,
                     key=key,
-                    demand=_rooms.make_demand(rooms, job, key),
+                    demand=_free_capacity.make_demand(view, job, key),
                     waiting=waiting,
                 )
 
 
 def _plan_step(
-    rooms: _rooms.Rooms, step: _Step
-) -> tuple[list[_state.Run], _questions.Question | None]:
+    view: _free_capacity.CapacityView, step: _WaitingStep
+) -> tuple[list[_state.Run], _advisor_queries.Question | None]:
     if step.job.spec.queue.advice is None:
-        eligible = _eligible(rooms, step, rooms.workers.values())
-        runs, left = _place_units(rooms, step, eligible, None)
-        if left:
-            _wait_for_workers(rooms, step, eligible, left)
+        eligible = _eligible_workers(view, step, view.workers.values())
+        runs, unplaced = _place_units(view, step, eligible, None)
+        if unplaced:
+            _reserve_workers(view, step, eligible, unplaced)
         return runs, None
     advice = step.job.advice.setdefault(step.key, _state.StepAdvice())
     candidates = [
-        rooms.workers[key]
+        view.workers[key]
         for key, (_, until) in advice.good.items()
-        if key in rooms.workers and until > rooms.now + TICKET_MARGIN_S
+        if key in view.workers and until > view.now + TICKET_MARGIN_S
     ]
-    runs, left = _place_units(rooms, step, candidates, advice)
-    if not left:
+    runs, unplaced = _place_units(view, step, candidates, advice)
+    if not unplaced:
         return runs, None
-    return runs, _wait_for_tickets(rooms, step, advice, left)
+    return runs, _reserve_and_query(view, step, advice, unplaced)
 
 
-def _eligible(
-    rooms: _rooms.Rooms,
-    step: _Step,
+def _eligible_workers(
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
     workers: collections.abc.Iterable[_state.Worker],
 ) -> list[_state.Worker]:
-    """Return the workers that could ever run tasks of a step."""
+    """Return the workers that could run a task of a step when empty."""
     return [
         worker
         for worker in workers
-        if _rooms.may_ever_run(worker, step.demand)
+        if _free_capacity.can_ever_run(worker, step.demand)
     ]
 
 
@@ -187,38 +188,40 @@
     return until > now + TICKET_MARGIN_S
 
 
-def _wait_for_workers(
-    rooms: _rooms.Rooms,
-    step: _Step,
+def _reserve_workers(
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
     workers: collections.abc.Sequence[_state.Worker],
     wanted: int,
 ) -> list[tuple[_state.Worker, float]]:
-    """Keep room for the tasks that wait, on the workers with the first room.
+    """Reserve the workers that are expected to fit the waiting tasks first.
 
     Returns
     -------
     list of (Worker, float)
-        The workers, and the seconds until each is expected to have room.
+        The workers, and the expected seconds until each has free capacity.
     """
-    need = _state.reserved_need(step.demand.spec)
+    need = _state.allocated_need(step.demand.spec)
     chosen: list[tuple[_state.Worker, float]] = []
-    if step.demand.spec.gang and not _could_hold_gang(workers, step.demand):
-        # Kept room would stay empty for as long as the job exists.
+    if step.demand.spec.gang and not _could_fit_gang(workers, step.demand):
+        # The reserved capacity would stay idle for as long as the job exists.
         return chosen
-    open_workers = _open_workers(rooms, step, workers)
-    open_workers.sort(key=lambda pair: _rooms.score(pair[0], step.demand))
-    for worker, room in open_workers:
+    fitting_workers = _fitting_workers(view, step, workers)
+    fitting_workers.sort(
+        key=lambda pair: _free_capacity.score(pair[0], step.demand)
+    )
+    for worker, fitting in fitting_workers:
         if wanted <= 0:
             return chosen
-        for _ in range(min(room, wanted)):
-            _rooms.hold(rooms, worker, need)
-        wanted -= room
+        for _ in range(min(fitting, wanted)):
+            _free_capacity.reserve_capacity(view, worker, need)
+        wanted -= fitting
         chosen.append((worker, 0.0))
-    if wanted <= 0 or not _may_keep_workers(rooms, step):
+    if wanted <= 0 or not _may_reserve_full_workers(view, step):
         return chosen
-    taken = {worker.key for worker, _ in chosen} | rooms.held.keys()
+    taken = {worker.key for worker, _ in chosen} | view.reserved.keys()
     full = [
-        (worker, _rooms.wait_for_room(rooms, worker, step.demand))
+        (worker, _free_capacity.expected_wait_s(view, worker, step.demand))
         for worker in workers
         if worker.key not in taken
     ]
@@ -226,73 +229,87 @@
     for worker, wait_s in full[:wanted]:
         if math.isinf(wait_s):
             break
-        _rooms.block(rooms, worker)
+        _free_capacity.reserve_worker(view, worker)
         chosen.append((worker, wait_s))
     return chosen
 
 
-def _may_keep_workers(rooms: _rooms.Rooms, step: _Step) -> bool:
-    """Return whether full workers may be kept empty for a step."""
-    if rooms.busy:
+def _may_reserve_full_workers(
+    view: _free_capacity.CapacityView, step: _WaitingStep
+) -> bool:
+    """Return whether full workers may be reserved for a step."""
+    if view.busy:
         return True
     progress = step.job.steps[step.key]
-    progress.kept_since = progress.kept_since or rooms.now
-    return rooms.now - progress.kept_since < KEEP_IDLE_S
+    progress.reserved_since = progress.reserved_since or view.now
+    return view.now - progress.reserved_since < IDLE_RESERVATION_S
 
 
-def _could_hold_gang(
-    workers: collections.abc.Iterable[_state.Worker], demand: _rooms.Demand
+def _could_fit_gang(
+    workers: collections.abc.Iterable[_state.Worker],
+    demand: _free_capacity.Demand,
 ) -> bool:
-    """Return whether empty workers would have room for a whole gang."""
-    members = sum(_rooms.room_when_empty(worker, demand) for worker in workers)
+    """Return whether a whole gang would fit if all workers were empty."""
+    members = sum(
+        _free_capacity.count_fitting_tasks_if_empty(worker, demand)
+        for worker in workers
+    )
     return members >= demand.spec.count
 
 
-def _open_workers(
-    rooms: _rooms.Rooms,
-    step: _Step,
+def _fitting_workers(
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
     workers: collections.abc.Iterable[_state.Worker],
 ) -> list[tuple[_state.Worker, int]]:
-    """Return the workers with room, and for how many tasks of a step."""
+    """Return the workers that fit tasks of a step now, and how many."""
     return [
-        (worker, room)
+        (worker, fitting)
         for worker in workers
-        if (room := _rooms.room_for(rooms, worker, step.demand))
+        if (
+            fitting := _free_capacity.count_fitting_tasks(
+                view, worker, step.demand
+            )
+        )
     ]
 
 
-def _wait_for_tickets(
-    rooms: _rooms.Rooms,
-    step: _Step,
+def _reserve_and_query(
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
     advice: _state.StepAdvice,
     wanted: int,
-) -> _questions.Question | None:
+) -> _advisor_queries.Question | None:
     policy = step.job.spec.queue.advice
-    good = [
-        rooms.workers[key]
+    allowed_workers = [
+        view.workers[key]
         for key, allowed in advice.allowed.items()
-        if allowed and key in rooms.workers
+        if allowed and key in view.workers
     ]
-    room = sum(room for _, room in _open_workers(rooms, step, good))
-    chosen = _wait_for_workers(rooms, step, good, wanted)
-    if advice.asking or rooms.now < advice.retry_at:
+    fitting = sum(
+        fitting for _, fitting in _fitting_workers(view, step, allowed_workers)
+    )
+    chosen = _reserve_workers(view, step, allowed_workers, wanted)
+    if advice.in_flight or view.now < advice.retry_at:
         return None
-    limit = max(1, int(NAMED_SHARE * policy.decide_s / policy.per_worker_s))
-    # A ticket is asked for when the room is expected to be there by the time
+    limit = max(
+        1, int(QUERY_TIME_SHARE * policy.decide_s / policy.per_worker_s)
+    )
+    # Query only workers that are expected to have free capacity by the time
     # of the answer.
-    cost_s = _questions.cost_s(policy, len(chosen))
+    cost_s = _advisor_queries.call_duration_s(policy, len(chosen))
     named = [
         worker
         for worker, wait_s in chosen
         if wait_s <= cost_s
-        and not _has_ticket(advice, worker, rooms.now + cost_s)
+        and not _has_ticket(advice, worker, view.now + cost_s)
     ]
-    if not good or room < wanted:
-        named += _name_unknown(rooms, step, advice, wanted - room)
+    if not allowed_workers or fitting < wanted:
+        named += _choose_unassessed(view, step, advice, wanted - fitting)
     named = named[:limit]
     if not named:
         return None
-    return _questions.Question(
+    return _advisor_queries.Question(
         job=step.job,
         occurrence=step.key[0],
         step=step.key[1],
@@ -300,129 +317,134 @@
     )
 
 
-def _name_unknown(
-    rooms: _rooms.Rooms,
-    step: _Step,
+def _choose_unassessed(
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
     advice: _state.StepAdvice,
     missing: int,
 ) -> list[_state.Worker]:
-    """Return workers that the advisor has not judged for a step, best first.
+    """Return workers that the advisor has not yet assessed, best first.
 
     Parameters
     ----------
-    rooms : Rooms
-        The round.
-    step : _Step
+    view : CapacityView
+        Free capacity in this planning round.
+    step : _WaitingStep
         The step.
     advice : StepAdvice
-        What is known of it.
+        Earlier answers of the advisor about the step.
     missing : int
-        Tasks for which no allowed worker has room.
+        Tasks for which no allowed worker has free capacity.
 
     Returns
     -------
     list of Worker
-        All of them before the first answer, later as many of those with room
-        as should contain the workers that are missing.
+        All of them until the advisor has allowed a worker. After that, as
+        many of those with free capacity as are expected to include enough
+        allowed workers for the missing tasks.
     """
-    unknown = _eligible(
-        rooms,
+    unassessed = _eligible_workers(
+        view,
         step,
         [
             worker
-            for key, worker in rooms.workers.items()
+            for key, worker in view.workers.items()
             if key not in advice.allowed
         ],
     )
     if not any(advice.allowed.values()):
-        return _by_score(rooms, step, unknown)
+        return _sort_by_score(view, step, unassessed)
     share = sum(advice.allowed.values()) / len(advice.allowed)
-    count = math.ceil(missing / max(EXPECTED_GOOD_SHARE, share))
-    unknown = [worker for worker, _ in _open_workers(rooms, step, unknown)]
-    return _by_score(rooms, step, unknown)[:count]
+    count = math.ceil(missing / max(EXPECTED_ALLOWED_SHARE, share))
+    unassessed = [
+        worker for worker, _ in _fitting_workers(view, step, unassessed)
+    ]
+    return _sort_by_score(view, step, unassessed)[:count]
 
 
-def _by_score(
-    rooms: _rooms.Rooms, step: _Step, workers: list[_state.Worker]
+def _sort_by_score(
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
+    workers: list[_state.Worker],
 ) -> list[_state.Worker]:
     return sorted(
         workers,
         key=lambda worker: (
-            _rooms.room_for(rooms, worker, step.demand) == 0,
-            _rooms.score(worker, step.demand),
+            _free_capacity.count_fitting_tasks(view, worker, step.demand) == 0,
+            _free_capacity.score(worker, step.demand),
         ),
     )
 
 
 def _place_units(
-    rooms: _rooms.Rooms,
-    step: _Step,
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
     candidates: list[_state.Worker],
     advice: _state.StepAdvice | None,
 ) -> tuple[list[_state.Run], int]:
-    """Place as many units as there is room for.
+    """Place as many units as fit.
 
     Returns
     -------
     list of Run, int
-        The planned runs, and the tasks that found no room.
+        The planned runs, and the number of tasks that were not placed.
     """
-    places = dict(
-        (worker.key, (_rooms.score(worker, step.demand), worker))
-        for worker, _ in _open_workers(rooms, step, candidates)
+    scored = dict(
+        (worker.key, (_free_capacity.score(worker, step.demand), worker))
+        for worker, _ in _fitting_workers(view, step, candidates)
     )
     runs: list[_state.Run] = []
-    left = 0
+    unplaced = 0
     for unit in step.waiting:
-        placed = _place_unit(rooms, step, places, unit, advice)
+        placed = _place_unit(view, step, scored, unit, advice)
         runs.extend(placed)
-        left += 0 if placed else len(unit.indexes)
-    return runs, left
+        unplaced += 0 if placed else len(unit.indexes)
+    return runs, unplaced
 
 
 def _place_unit(
-    rooms: _rooms.Rooms,
-    step: _Step,
-    places: _Places,
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
+    scored: _ScoredWorkers,
     unit: _state.Unit,
     advice: _state.StepAdvice | None,
 ) -> list[_state.Run]:
     if step.demand.spec.same_rack:
-        # All members in one rack run faster, if one has the room.
-        racks = {worker.report.rack for _, worker in places.values()}
+        # Members run faster in one rack, so prefer a rack that fits them all.
+        racks = {worker.report.rack for _, worker in scored.values()}
         for rack in sorted(racks):
             group = {
                 key: pair
-                for key, pair in places.items()
+                for key, pair in scored.items()
                 if pair[1].report.rack == rack
             }
-            placed = _place_members(rooms, step, group, unit, advice)
+            placed = _place_members(view, step, group, unit, advice)
             if placed:
                 for run in placed:
-                    _update_place(rooms, step, places, run.worker_key)
+                    _update_score(view, step, scored, run.worker_key)
                 return placed
-    return _place_members(rooms, step, places, unit, advice)
+    return _place_members(view, step, scored, unit, advice)
 
 
 def _place_members(
-    rooms: _rooms.Rooms,
-    step: _Step,
-    places: _Places,
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
+    scored: _ScoredWorkers,
     unit: _state.Unit,
     advice: _state.StepAdvice | None,
 ) -> list[_state.Run]:
-    """Reserve room for all members of a unit, or for none."""
-    if not places:
+    """Plan runs for all members of a unit, or for none."""
+    if not scored:
         return []
     job = step.job
     number = unit.last_run + 1
     placed: list[_state.Run] = []
     for index in unit.indexes:
-        best = _choose_place(places, unit)
+        best = _choose_worker(scored, unit)
         if best is None:
             for run in placed:
-                _state.release(rooms.workers[run.worker_key], run)
-                _update_place(rooms, step, places, run.worker_key)
+                _state.deallocate(view.workers[run.worker_key], run)
+                _update_score(view, step, scored, run.worker_key)
             return []
         run = _state.Run(
             job=job,
@@ -430,13 +452,13 @@
             index=index,
             number=number,
             worker_key=best.key,
-            need=_state.reserved_need(step.demand.spec),
+            need=_state.allocated_need(step.demand.spec),
             ticket=advice.good[best.key][0] if advice is not None else "",
             checkpoint=unit.checkpoint,
-            planned_at=rooms.now,
+            planned_at=view.now,
         )
-        _state.occupy(best, run)
-        _update_place(rooms, step, places, best.key)
+        _state.allocate(best, run)
+        _update_score(view, step, scored, best.key)
         placed.append(run)
     unit.last_run = number
     _state.set_unit_state(job, unit, _state.UnitState.ACTIVE)
@@ -445,20 +467,24 @@
     return placed
 
 
-def _update_place(
-    rooms: _rooms.Rooms, step: _Step, places: _Places, key: str
+def _update_score(
+    view: _free_capacity.CapacityView,
+    step: _WaitingStep,
+    scored: _ScoredWorkers,
+    key: str,
 ) -> None:
-    worker = rooms.workers[key]
-    if _rooms.room_for(rooms, worker, step.demand):
-        places[key] = (_rooms.score(worker, step.demand), worker)
+    worker = view.workers[key]
+    if _free_capacity.count_fitting_tasks(view, worker, step.demand):
+        scored[key] = (_free_capacity.score(worker, step.demand), worker)
     else:
-        places.pop(key, None)
+        scored.pop(key, None)
 
 
-def _choose_place(places: _Places, unit: _state.Unit) -> _state.Worker | None:
-    # A worker on which the unit has failed is used again only when nothing
-    # else is left.
-    pairs = places.values()
+def _choose_worker(
+    scored: _ScoredWorkers, unit: _state.Unit
+) -> _state.Worker | None:
+    # A worker on which the unit has failed is chosen only if no other fits.
+    pairs = scored.values()
     if unit.avoided:
         preferred = [pair for pair in pairs if pair[1].key not in unit.avoided]
         pairs = preferred or pairs
--- a/chestnuttide/workloads/_looks.py
+++ b/chestnuttide/workloads/_poll_replies.py
@@ -1,4 +1,4 @@
-"""What a worker's lists and answers say about its runs."""
+"""Applies the poll replies of workers, and keeps track of their leases."""
 
 import typing
 
@@ -8,15 +8,16 @@
 from chestnuttide.workloads import _specs
 from chestnuttide.workloads import _state
 
-# The worker's clock may be 2% slow, so its lease may last that much longer.
-CLOCK_DRIFT = 0.98
+# Lowest rate of a worker's clock, as a share of real time. A lease lasts
+# longer on a slow clock.
+MIN_CLOCK_RATE = 0.98
 
-# Added to the computed end of a silent worker's lease, for rounding.
-LAPSE_MARGIN_S = 0.1
+# Added to the computed expiry of a lease, to cover rounding.
+EXPIRY_MARGIN_S = 0.1
 
 
 class RunRow(typing.Protocol):
-    """A listed run; see ``platform.RunRow``."""
+    """A run that a worker lists as running; see ``platform.RunRow``."""
 
     task: str
     run: int
@@ -25,8 +26,8 @@
     measure: float
 
 
-class EndRow(typing.Protocol):
-    """A listed end; see ``platform.EndRow``."""
+class CompletionRow(typing.Protocol):
+    """A completion that a worker lists; see ``platform.EndRow``."""
 
     number: int
     task: str
@@ -37,23 +38,23 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Observation:
-    """A worker's lists with the times of the call.
+    """A worker's reply to a poll, with the times of the call.
 
     Attributes
     ----------
     clock_ms : int
-        The worker's clock in the answer.
+        The worker's clock when it replied.
     running : tuple of RunRow
-        All that runs.
-    ended : tuple of EndRow
-        Ends that are not yet acknowledged.
+        All runs that the worker is executing.
+    ended : tuple of CompletionRow
+        Completions that are not yet acknowledged.
     sent_at, received_at : float
-        Monotonic times of the call.
+        Monotonic times of the request and the reply.
     """
 
     clock_ms: int
     running: tuple[RunRow, ...]
-    ended: tuple[EndRow, ...]
+    ended: tuple[CompletionRow, ...]
     sent_at: float
     received_at: float
 
@@ -61,7 +62,7 @@
 def note_clock(
     worker: _state.Worker, clock_ms: int, received_at: float
 ) -> None:
-    """Remember the worker's clock, unless a newer value is known."""
+    """Record a reading of a worker's clock, unless a newer one is known."""
     if clock_ms >= worker.clock_ms:
         worker.clock_ms = clock_ms
         worker.clock_at = received_at
@@ -70,7 +71,13 @@
 def lease_deadline_ms(
     worker: _state.Worker, *, now: float, lease_s: float
 ) -> int | None:
-    """Return a lease's end on the worker's clock; None if it is unknown."""
+    """Return the expiry of a new lease on the worker's clock.
+
+    Returns
+    -------
+    int or None
+        Milliseconds of the worker's clock; None before its first reading.
+    """
     if worker.clock_at is None:
         return None
     return worker.clock_ms + int((now - worker.clock_at + lease_s) * 1000)
@@ -79,11 +86,11 @@
 def hold_deadline_ms(
     worker: _state.Worker, *, now: float, lease_s: float
 ) -> int | None:
-    """Return the lease that a look at a worker asks for, or None.
+    """Return the lease expiry that a poll requests, or None for no lease.
 
-    An unanswered look may have extended the lease. While a worker is silent,
-    looks ask for none, so that the lease runs out and its runs can go on
-    elsewhere.
+    An unanswered poll may still have renewed the lease. Polls of an
+    unresponsive worker therefore request none, so that the lease expires and
+    its runs can be restarted elsewhere.
     """
     if not worker.runs or worker.failed_looks:
         return None
@@ -91,7 +98,11 @@
 
 
 def note_stored(worker: _state.Worker) -> None:
-    """Find the last end whose job is stored as it was with that end."""
+    """Update the number of the last completion that is stored.
+
+    A completion is stored once its job's record contains it. Completions are
+    acknowledged in sequence, so one that is not stored holds back the rest.
+    """
     unstored = worker.unstored
     while unstored and unstored[0].job.stored_change >= unstored[0].change:
         unstored.popleft()
@@ -101,89 +112,90 @@
 
 
 def is_finished(worker: _state.Worker) -> bool:
-    """Return whether a worker can be forgotten.
+    """Return whether a worker can be removed from the pool.
 
-    The store may lose the entry of a live worker and list it again. Ends that
-    are not stored yet are remembered until then, or the next look would take
-    them as nobody's and acknowledge them.
+    The store may lose the entry of a live worker and list it again later. A
+    worker with unstored completions is kept, because the next poll would
+    otherwise not find their runs and would acknowledge them.
     """
     return not worker.listed and not worker.runs and not worker.unstored
 
 
 def acknowledged_end(worker: _state.Worker) -> int:
-    """Return the number up to which a look may acknowledge ends.
+    """Return the number up to which a poll may acknowledge completions.
 
-    A worker that did not answer may have started again, and then counts its
-    ends anew; what was stored of the former lifetime says nothing of them.
+    A worker that failed to answer may have restarted, and a new incarnation
+    numbers its completions from 1. The number stored for the former
+    incarnation does not apply to them.
     """
     return 0 if worker.failed_looks else worker.stored_end
 
 
 def note_grant(worker: _state.Worker, deadline_ms: int, *, now: float) -> None:
-    """Remember that an order with this lease may have been executed."""
-    ahead_s = (deadline_ms - worker.clock_ms) / 1000
-    until = worker.clock_at + ahead_s / CLOCK_DRIFT + LAPSE_MARGIN_S
+    """Extend the recorded lease by a command that may have been executed."""
+    remaining_s = (deadline_ms - worker.clock_ms) / 1000
+    until = worker.clock_at + remaining_s / MIN_CLOCK_RATE + EXPIRY_MARGIN_S
     worker.lease_until = max(worker.lease_until, until, now)
 
 
 def apply_look(
     pool: _state.Pool,
     worker: _state.Worker,
-    look: Observation,
+    reply: Observation,
     *,
     now_unix_s: float,
 ) -> list[tuple[_state.Run, str]]:
-    """Apply a worker's lists to the pool.
+    """Apply a poll reply to the pool.
 
     Returns
     -------
     list of (Run, str)
-        Runs that have ended, with how; for the log.
+        Runs that have ended, and how each ended, for the log.
     """
-    now = look.received_at
-    note_clock(worker, look.clock_ms, now)
+    now = reply.received_at
+    note_clock(worker, reply.clock_ms, now)
     worker.seen_at = now
-    ends: list[tuple[_state.Run, str]] = []
+    completions: list[tuple[_state.Run, str]] = []
 
-    def end(run: _state.Run, how: str, checkpoint: str) -> None:
+    def complete(run: _state.Run, how: str, checkpoint: str) -> None:
         if how == "done":
-            _lifecycle.note_success(worker)
-        ends.append((run, how))
+            _lifecycle.record_success(worker)
+        completions.append((run, how))
         _lifecycle.end_run(
             pool, run, how, checkpoint, now=now, now_unix_s=now_unix_s
         )
 
-    ended_keys = set()
-    for row in look.ended:
-        ended_keys.add((row.task, row.run))
+    completed_keys = set()
+    for row in reply.ended:
+        completed_keys.add((row.task, row.run))
         if row.number <= worker.highest_end:
             continue
         worker.highest_end = row.number
         run = worker.runs.get((row.task, row.run))
         if run is not None:
-            end(run, row.how, row.checkpoint)
+            complete(run, row.how, row.checkpoint)
             worker.unstored.append(
-                _state.UnstoredEnd(
+                _state.UnstoredCompletion(
                     number=row.number, job=run.job, change=run.job.change
                 )
             )
-    listed = {(row.task, row.run): row for row in look.running}
+    listed = {(row.task, row.run): row for row in reply.running}
     for key, row in listed.items():
         run = worker.runs.get(key)
         if run is not None:
-            _note_running(run, row, now)
+            _record_running(run, row, now)
     for run in list(worker.runs.values()):
-        if run.key in listed or run.key in ended_keys:
+        if run.key in listed or run.key in completed_keys:
             continue
-        how = _absence(run, look)
+        how = _infer_completion(run, reply)
         if how:
-            end(run, how, "")
-    _note_unknown(pool, worker, listed, ended_keys)
+            complete(run, how, "")
+    _record_unknown_runs(pool, worker, listed, completed_keys)
     note_stored(worker)
-    return ends
+    return completions
 
 
-def _note_running(run: _state.Run, row: RunRow, now: float) -> None:
+def _record_running(run: _state.Run, row: RunRow, now: float) -> None:
     run.listed = True
     if run.phase != _state.Phase.RUNNING:
         run.phase = _state.Phase.RUNNING
@@ -201,32 +213,33 @@
         run.checkpoint = row.checkpoint
 
 
-def _absence(run: _state.Run, look: Observation) -> str:
-    """Return the end that an unlisted run has come to, or nothing.
+def _infer_completion(run: _state.Run, reply: Observation) -> str:
+    """Return how a run that the reply does not list ended, or "".
 
-    A look that was sent after the confirmation would list the run. An
-    unanswered start cannot take effect once the worker's clock has passed
-    its lease, nor after a new owner's fencing token has been seen.
+    A reply to a poll that was sent after the start was confirmed would list
+    the run. An unanswered start can no longer take effect once the worker's
+    clock has passed the start's lease, or once the worker has seen a new
+    owner's fencing token.
     """
     if run.phase == _state.Phase.RUNNING:
-        return "lost" if look.sent_at > run.confirmed_at else ""
+        return "lost" if reply.sent_at > run.confirmed_at else ""
     if run.phase == _state.Phase.UNCERTAIN:
-        rejected = 0 < run.stop_acknowledged_at < look.sent_at
-        if rejected or look.clock_ms > run.deadline_ms:
+        rejected = 0 < run.stop_acknowledged_at < reply.sent_at
+        if rejected or reply.clock_ms > run.deadline_ms:
             return "never"
     return ""
 
 
-def _note_unknown(
+def _record_unknown_runs(
     pool: _state.Pool,
     worker: _state.Worker,
     listed: dict[_state.RunKey, RunRow],
-    ended_keys: set[_state.RunKey],
+    completed_keys: set[_state.RunKey],
 ) -> None:
     unknown = {
         key
         for key in listed
-        if key not in worker.runs and key not in ended_keys
+        if key not in worker.runs and key not in completed_keys
     }
     if unknown:
         pool.unknown_runs[worker.key] = unknown
@@ -235,7 +248,7 @@
 
 
 def confirm_start(run: _state.Run, *, now: float) -> None:
-    """Note that the worker has accepted a run's start."""
+    """Record that the worker has accepted a run's start."""
     if run.phase in (_state.Phase.ORDERED, _state.Phase.UNCERTAIN):
         run.phase = _state.Phase.RUNNING
         run.confirmed_at = now
@@ -253,15 +266,15 @@
     now: float,
     now_unix_s: float,
 ) -> list[_state.Run]:
-    """End the runs of a worker whose lease has run out in silence."""
+    """End the runs of an unresponsive worker whose lease has expired."""
     if not worker.runs or now < worker.lease_until:
         return []
-    lapsed = [
+    expired = [
         run
         for run in worker.runs.values()
         if run.phase != _state.Phase.PLANNED
     ]
-    for run in lapsed:
+    for run in expired:
         if run.phase != _state.Phase.RUNNING:
             pool.unanswered_starts.setdefault(worker.report.id, set()).add(
                 run.key
@@ -269,7 +282,7 @@
         _lifecycle.end_run(
             pool, run, "lost", "", now=now, now_unix_s=now_unix_s
         )
-    return lapsed
+    return expired
 
 
 def update_worker(
@@ -279,7 +292,10 @@
     now: float,
     lease_until: float,
 ) -> _state.Worker:
-    """Take a worker's entry into the pool; a new lifetime is a new worker."""
+    """Add or update a worker from its entry in the store.
+
+    Each incarnation of a worker is a separate `Worker`.
+    """
     key = _state.worker_key(report)
     worker = pool.workers.get(key)
     if worker is None:
--- a/chestnuttide/workloads/_records.py
+++ b/chestnuttide/workloads/_records.py
@@ -1,4 +1,4 @@
-"""What is stored of a job's progress, and a pool rebuilt from it."""
+"""Stored records of jobs, and restoring a pool from them."""
 
 import attrs
 import cattrs
@@ -15,7 +15,7 @@
 
 
 def encode_progress(job: _state.Job) -> bytes:
-    """Return the record of a job that has not ended."""
+    """Encode the progress record of a job that has not ended."""
     rows = [
         [
             *unit.key,
@@ -42,15 +42,15 @@
 ) -> None:
     """Restore a job's units and runs from its record.
 
-    Each restored run is uncertain and keeps its worker occupied until the
-    worker's lists have decided. A worker that is not listed gets a place
-    holder, whose lease ends at `lease_until`.
+    Each restored run is uncertain and allocates capacity of its worker until
+    a poll reply shows whether it runs. A worker that is not listed gets a
+    placeholder, whose lease expires at `lease_until`.
     """
     _, started, rows = cbor2.loads(record)
     job.started = started
     if started:
         job.state = job.shown_state = _state.JobState.RUNNING
-    _release_recorded(pool, job, rows, now_unix_s)
+    _restore_occurrences(pool, job, rows, now_unix_s)
     for row in rows:
         occurrence, step, index, state, last_run, failed, saved, runs = row
         unit = job.units[(occurrence, step, index)]
@@ -62,7 +62,7 @@
         for member, number, key in runs:
             worker = pool.workers.get(key)
             if worker is None:
-                worker = _place_holder(key, lease_until)
+                worker = _make_placeholder(key, lease_until)
                 pool.workers[key] = worker
             run = _state.Run(
                 job=job,
@@ -70,33 +70,37 @@
                 index=member,
                 number=number,
                 worker_key=key,
-                need=_state.reserved_need(job.spec.steps[step]),
+                need=_state.allocated_need(job.spec.steps[step]),
                 phase=_state.Phase.UNCERTAIN,
                 checkpoint=saved,
-                # A former owner's start is rejected once this owner's
-                # fencing token was seen, so any answer decides.
+                # A worker that has seen this owner's fencing token rejects
+                # starts of former owners, so any poll reply is conclusive.
                 deadline_ms=-1,
                 planned_at=now,
                 stopping=unit.state == _state.UnitState.DONE,
             )
             unit.runs.append(run)
-            _state.occupy(worker, run)
+            _state.allocate(worker, run)
 
 
-def _release_recorded(
+def _restore_occurrences(
     pool: _state.Pool,
     job: _state.Job,
     rows: list[list[object]],
     now_unix_s: float,
 ) -> None:
-    """Make the units of occurrences that had begun by another clock."""
-    begun = max((row[0] + 1 for row in rows), default=0)
+    """Create the units of all occurrences that the record contains.
+
+    The former owner's clock may have been ahead, so an occurrence in the
+    record may not be due by this owner's clock yet.
+    """
+    released = max((row[0] + 1 for row in rows), default=0)
     due_s = job.spec.first_due_unix_s
-    due_s += (begun - 1) * job.spec.interval_s
+    due_s += (released - 1) * job.spec.interval_s
     _lifecycle.release_due_occurrences(pool, job, max(now_unix_s, due_s))
 
 
-def _place_holder(key: str, lease_until: float) -> _state.Worker:
+def _make_placeholder(key: str, lease_until: float) -> _state.Worker:
     worker_id, _, born = key.rpartition("@")
     return _state.Worker(
         key=key,
@@ -115,16 +119,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class EndedJob:
-    """What remains of a job that has ended.
+    """Record that replaces a job once it has ended.
 
     Attributes
     ----------
     queue : str
         Name of its queue.
     state : str
-        How it ended.
+        Final state.
     ended_unix_s : float
-        When.
+        End time.
     """
 
     queue: str
@@ -133,12 +137,12 @@
 
 
 def encode_job(spec: _specs.JobSpec) -> bytes:
-    """Return the record of an accepted job."""
+    """Encode the record of an accepted job."""
     return cbor2.dumps([_RECORD_VERSION, _CONVERTER.unstructure(spec)])
 
 
 def encode_end(job: _state.Job) -> bytes:
-    """Return the record that remains of a job that has ended."""
+    """Encode the record of a job that has ended."""
     ended = EndedJob(
         queue=job.spec.queue.name,
         state=str(job.state),
@@ -148,7 +152,7 @@
 
 
 def decode_job(record: bytes) -> _specs.JobSpec | EndedJob:
-    """Return the job or the ended job in a record."""
+    """Decode the record of an accepted or an ended job."""
     _, document = cbor2.loads(record)
     kind = EndedJob if "ended_unix_s" in document else _specs.JobSpec
     return _CONVERTER.structure(document, kind)
--- a/chestnuttide/workloads/_specs.py
+++ b/chestnuttide/workloads/_specs.py
@@ -1,4 +1,4 @@
-"""What callers ask for: jobs, their steps, and the policy of their queue."""
+"""Accepted jobs, their steps and queue policies, and worker reports."""
 
 import attrs
 
@@ -7,14 +7,15 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Advice:
-    """Cost and validity of the policy advisor's answers for a queue.
+    """Duration of advisor queries for a queue, and validity of their tickets.
 
     Attributes
     ----------
     decide_s, per_worker_s : float
-        Time of one call, and what each named worker adds, in seconds.
+        Base duration of a query, and the time that each named worker adds,
+        in seconds.
     validity_s : float
-        Seconds for which a ticket may be used.
+        Validity of a ticket, in seconds.
     """
 
     decide_s: float
@@ -24,26 +25,26 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Queue:
-    """A queue of the configuration and its policy.
+    """A configured queue and its policy.
 
     Attributes
     ----------
     name : str
         Name of the route.
     host, prefix : str
-        Host header and begin of the path that select it.
+        Host header and path prefix that select it.
     service : str
         Service whose workers run its tasks.
     priority : int
-        0 goes first.
+        Lower numbers are more urgent; 0 is the most urgent.
     attempt_limit : int
-        Failed runs of one task after which the job has failed.
+        Failed runs of one task after which its job fails.
     stretch : float
-        Objective as a multiple of the job's longest chain of work.
+        Latency objective as a multiple of the job's critical path.
     latency_objective_s : float
-        Seconds that the objective allows in addition.
+        Constant part of the latency objective, in seconds.
     advice : Advice or None
-        Present if only the advisor knows which workers may run a step.
+        Advisor policy; None if starts need no ticket of the advisor.
     """
 
     name: str
@@ -59,36 +60,37 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StepSpec:
-    """Tasks of one size that become ready together.
+    """A group of equal tasks that become ready together.
 
     Attributes
     ----------
     count : int
         Number of tasks.
     need : Resources
-        What each task takes of its worker.
+        Resources that each task needs.
     estimate_s : float
         Rough estimate of a task's run time in seconds.
     after : tuple of int
-        Steps that must be done before.
+        Steps that must be done first.
     checkpointable, gang, speculative, lasting, filler : bool
-        Whether tasks save their progress, run only all together, may run as
-        parallel copies, run until the job is cancelled, and use only
-        processor time that other tasks leave.
+        Whether tasks save checkpoints, must all run at the same time, may
+        run as parallel copies, run until the job is cancelled, and use only
+        processor time that other tasks leave idle.
     same_rack : bool
         Whether all tasks should run in one rack.
     label : str
-        Label that a worker must have; empty for any.
+        Label that a worker must have; empty for any worker.
     data_rack : str
-        Rack that holds the data; empty for any.
+        Rack that holds the input data; empty for no preference.
     spread_limit : int
-        Most tasks of the step on one worker; 0 for no limit.
+        Maximum number of the step's tasks on one worker; 0 for no limit.
     image : str
-        What the tasks run.
+        Image that the tasks run.
     latency_target_ms : float
-        Tail latency that a lasting task must stay below; 0 for none.
+        Tail latency that a long-running task must stay below; 0 for none.
     unavailable_limit : int
-        Tasks that the system may make unavailable at once; -1 for any.
+        Maximum number of tasks that the scheduler may make unavailable at
+        once; -1 for no limit.
     """
 
     count: int
@@ -116,19 +118,21 @@
     Attributes
     ----------
     id : str
-        The caller's id.
+        Id that the caller chose.
     queue : Queue
-        The queue's policy when the job was accepted.
+        The queue and its policy when the job was accepted.
     payload : str
-        Text that is handed to each task.
+        Text that is passed to each task.
     steps : tuple of StepSpec
-        At least one.
+        Steps of the job; at least one.
     accepted_unix_s : float
         Time of acceptance by the accepting instance's clock.
     occurrences : int
-        How often the steps run; 0 for a job without times.
+        How often the steps run; 0 for a job that runs once, without a due
+        time.
     first_due_unix_s, interval_s : float
-        Due time of the first occurrence and the distance of the others.
+        Due time of the first occurrence, and the interval between
+        occurrences.
     """
 
     id: str
@@ -143,30 +147,30 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WorkerReport:
-    """What a worker says about itself.
+    """A worker's description of itself.
 
     Attributes
     ----------
     id : str
         Id of the worker.
     born_ms : int
-        Start of this lifetime; changes when the worker restarts.
+        Start time of this incarnation; changes when the worker restarts.
     service : str
-        Service that it works for.
+        Service that it belongs to.
     address : str
-        ``ip:port``.
+        Address as ``ip:port``.
     data_centre : str
-        Data centre.
+        Data centre of the worker.
     capacity : Resources
-        What it offers.
+        Total resources that it offers.
     labels : frozenset of str
-        Its kind and its rack.
+        Labels for its kind and its rack.
     rack : str
         The label that names its rack; empty if none does.
     draining : bool
         Whether it is about to leave.
     remaining_s : float
-        Least time until it leaves, while it drains.
+        Minimum time until it leaves while it is draining, in seconds.
     """
 
     id: str
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -1,4 +1,4 @@
-"""State of one service's pool: its jobs, runs and workers."""
+"""State of a service's pool: its jobs, runs and workers."""
 
 import collections
 import enum
@@ -20,7 +20,7 @@
 
 
 class JobState(enum.StrEnum):
-    """What callers are shown of a job."""
+    """State of a job, as callers see it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -35,11 +35,12 @@
 
 
 class Phase(enum.StrEnum):
-    """What is known about a run's start.
+    """What is known about the start of a run.
 
-    A run is planned until its record is stored, ordered once its start may
-    have left, and running once its worker has confirmed it. Without an answer
-    it is uncertain until the worker's lists or its clock decide.
+    A run is PLANNED until its record is stored, ORDERED once its start
+    command may have been sent, and RUNNING once its worker has confirmed the
+    start. A run whose start was not answered is UNCERTAIN until the worker's
+    poll replies or its clock show whether it runs.
     """
 
     PLANNED = "planned"
@@ -54,50 +55,52 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Run:
-    """One member of an attempt on one worker.
+    """An attempt to execute one task on one worker.
 
     Attributes
     ----------
     job : Job
-        Its job.
+        Job of the task.
     unit : Unit
-        Its task or gang.
+        The task or the gang that it belongs to.
     index : int
         Number of the task in its step.
     number : int
-        Number of the run; all members of a gang share it.
+        Number of the attempt; all members of a gang share it.
     worker_key : str
-        Lifetime of the worker that runs it.
+        Worker incarnation that runs it.
     need : Resources
-        What it takes of the worker.
+        Capacity that it allocates on the worker.
     phase : Phase
         What is known about its start.
     ticket : str
         The advisor's ticket for the start.
     checkpoint : str
-        Newest progress seen.
+        Newest known checkpoint.
     planned_at, confirmed_at : float
         Monotonic times in seconds.
     recorded : bool
-        Whether a stored record names the run.
+        Whether a stored record contains the run.
     listed : bool
-        Whether a look at its worker's lifetime has listed it.
+        Whether a poll reply of its worker incarnation has listed it.
     deadline_ms : int
-        End of the start's lease on the worker's clock; 0 before it is sent.
+        Expiry of the start's lease on the worker's clock; 0 before it is
+        sent.
     percent, measure : float
-        As the worker listed them last.
+        Progress and the measured latency or processor use, as the worker
+        last listed them.
     progress_at : float
         Monotonic time at which `percent` last changed.
     stopping : bool
-        Whether it is to be stopped.
+        Whether it has to be stopped.
     stop_sent_at : float
-        Monotonic time of the last stop order.
+        Monotonic time of the last stop command.
     stop_acknowledged_at : float
         Monotonic time at which the worker answered a stop; 0 before.
     pace_percent : int
-        Share of its speed that it should have.
+        Desired speed, in percent of full speed.
     paced_percent : int
-        Share that the worker has confirmed.
+        Speed that the worker has confirmed, in percent of full speed.
     """
 
     job: "Job"
@@ -137,28 +140,29 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Unit:
-    """A task, or the members of a gang, which start and end together.
+    """A task, or all members of a gang, which start and end together.
 
     Attributes
     ----------
     key : (int, int, int)
         Occurrence, step and index; a gang has index 0.
     indexes : tuple of int
-        Tasks of the step that belong to it.
+        Numbers of its tasks in the step.
     state : UnitState
-        Progress.
+        Progress of the unit.
     last_run : int
-        Highest number given to a run.
+        Highest run number used so far.
     failures : int
-        Runs that ended as failed.
+        Number of failed runs.
     failed_runs : set of int
-        Their numbers.
+        Numbers of the failed runs.
     checkpoint : str
-        Newest progress to resume from.
+        Checkpoint to resume from; empty if there is none.
     runs : list of Run
-        Runs whose end is not yet known.
+        Runs that may still be executing.
     avoided : set of str
-        Workers on which it failed.
+        Worker incarnations that it should not run on again, for example
+        because it failed there.
     not_before : float
         Monotonic time before which it is not planned again.
     first_started_at : float
@@ -180,46 +184,45 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class StepAdvice:
-    """What the advisor has said about a step.
+    """Results of advisor queries about a step.
 
     Attributes
     ----------
     good : dict of str to (str, float)
-        Ticket, and the monotonic time until which it may be used, by worker
-        lifetime.
+        Ticket and the monotonic time of its expiry, by worker incarnation.
     allowed : dict of str to bool
-        Whether a worker lifetime may run the step; does not change.
-    asking : set of str
-        Worker lifetimes of the call that is under way.
+        Whether a worker incarnation may run the step; does not change.
+    in_flight : set of str
+        Worker incarnations named by the query that is in flight.
     retry_at : float
-        Monotonic time before which the advisor is not asked again.
+        Monotonic time before which no further query is sent.
     """
 
     good: dict[str, tuple[str, float]] = attrs.field(factory=dict)
     allowed: dict[str, bool] = attrs.field(factory=dict)
-    asking: set[str] = attrs.field(factory=set)
+    in_flight: set[str] = attrs.field(factory=set)
     retry_at: float = 0.0
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class StepProgress:
-    """Counts of a step's units, so that a round need not look at each.
+    """Counts of a step's units; spares a planning round from visiting each.
 
     Attributes
     ----------
     total : int
-        Units of the step.
+        Number of units of the step.
     waiting, done : int
-        Units in these states.
-    kept_since : float
-        Monotonic time at which workers were first kept empty for it on a
-        service that is not busy; 0 before.
+        Number of units in these states.
+    reserved_since : float
+        Monotonic time at which full workers were first reserved for it while
+        the service was not busy; 0 before.
     """
 
     total: int
     waiting: int
     done: int = 0
-    kept_since: float = 0.0
+    reserved_since: float = 0.0
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
@@ -229,23 +232,25 @@
     Attributes
     ----------
     spec : JobSpec
-        As accepted.
+        The job as it was accepted.
     state : JobState
-        What is decided; shown once it is stored.
+        Current state; callers see it once it is stored.
     shown_state : JobState
-        What callers may be shown.
+        Last stored state, which callers see.
     units : dict of (int, int, int) to Unit
         Units of the occurrences that are due.
     steps : dict of (int, int) to StepProgress
-        Counts of units by occurrence and step; `set_unit_state` keeps them.
+        Counts of units by occurrence and step; `add_unit` and
+        `set_unit_state` update them.
     occurrences_due : int
-        Occurrences whose units exist.
+        Number of occurrences whose units exist.
     advice : dict of (int, int) to StepAdvice
-        By occurrence and step.
+        Results of advisor queries by occurrence and step.
     accepted_at : float
         Monotonic time at which this owner learned of it.
     accepted : bool
-        Whether it is stored; until then only the advisor is asked.
+        Whether it is stored. Before that, advisor queries are sent but no
+        run starts.
     started : bool
         Whether any task has started.
     cancelled : bool
@@ -253,9 +258,9 @@
     dirty : bool
         Whether its record has to be stored; see `mark_changed`.
     change, stored_change : int
-        Number of its last change, and of the last one that is stored.
+        Number of its last change, and of the last change that is stored.
     ended_unix_s : float
-        Time of its end; 0 before.
+        End time; 0 before.
     progress_revision : int
         Store revision of its progress record; 0 if there is none.
     """
@@ -278,23 +283,23 @@
     progress_revision: int = 0
 
     @property
-    def is_lasting(self) -> bool:
-        """Whether its tasks run until it is cancelled."""
+    def is_long_running(self) -> bool:
+        """Whether it has tasks that run until it is cancelled."""
         return any(step.lasting for step in self.spec.steps)
 
 
 @attrs.frozen(kw_only=True, slots=True, eq=False)
-class UnstoredEnd:
-    """An end that a worker has listed and no stored record contains.
+class UnstoredCompletion:
+    """A listed completion that no stored record contains yet.
 
     Attributes
     ----------
     number : int
-        Number of the end at the worker.
+        Number of the completion at the worker.
     job : Job
-        The job of the run.
+        Job of the completed run.
     change : int
-        The job's change that contains the end.
+        Number of the job's change that contains the completion.
     """
 
     number: int
@@ -304,58 +309,60 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Worker:
-    """A lifetime of a worker.
+    """An incarnation of a worker.
 
     Attributes
     ----------
     key : str
-        Its id and birth.
+        The worker's id and the start time of the incarnation.
     report : WorkerReport
-        What it says about itself.
+        The worker's entry in the store.
     runs : dict of (str, int) to Run
-        Runs that occupy it, until their end is known.
+        Runs that allocate its capacity, until they are known to have ended.
     used : Resources
         Sum of their needs.
-    wanted_cpu_millis : int
-        Sum of the processors that their steps ask for, with those of fillers.
+    requested_cpu_millis : int
+        Sum of the processors that their steps request, including fillers.
     fillers, serving : int
-        Runs that use left-over processors, and runs with a latency target.
+        Number of filler runs, and of runs with a latency target.
     step_runs : dict of (str, int, int) to int
-        Runs of each step, by job, occurrence and step.
+        Number of runs by job, occurrence and step.
     seen_at : float
-        Monotonic time of the last answered look; 0 before this owner's first.
+        Monotonic time of the last poll reply to this owner; 0 before the
+        first.
     clock_ms, clock_at : int, float or None
-        The worker's clock at the monotonic time `clock_at`; None before the
-        first answer.
+        Reading of the worker's clock, and its monotonic time; `clock_at` is
+        None before the first reading.
     lease_until : float
-        Monotonic time by which all its runs have ended if it stays silent.
+        Monotonic time by which all its runs have ended unless its lease is
+        renewed.
     highest_end : int
-        Number of the last end that was taken over into the jobs.
-    unstored : deque of UnstoredEnd
-        Ends that may not be acknowledged yet, in order.
+        Number of the last completion that was applied to its job.
+    unstored : deque of UnstoredCompletion
+        Completions that may not be acknowledged yet, in sequence.
     stored_end : int
-        Number of the last end that is stored, and may be acknowledged.
+        Number of the last completion that is stored and may be acknowledged.
     listed : bool
         Whether the store lists it.
-    failures_in_row : int
-        Ends as failed since the last good one.
+    consecutive_failures : int
+        Failed runs since the last success.
     failed_jobs : set of str
-        Jobs of these ends.
-    shunned_until : float
-        Monotonic time before which it gets no new run.
+        Jobs of these runs.
+    quarantined_until : float
+        Monotonic time before which no new run is placed on it.
     stalls : int
-        Runs that stood still since the last good end.
+        Stalled runs since the last success.
     draining_since : float
         Monotonic time at which it was first seen draining; 0 before.
     failed_looks : int
-        Unanswered looks since the last answer.
+        Failed polls since the last reply.
     """
 
     key: str
     report: _specs.WorkerReport
     runs: dict[RunKey, Run] = attrs.field(factory=dict)
     used: model.Resources = model.Resources()
-    wanted_cpu_millis: int = 0
+    requested_cpu_millis: int = 0
     fillers: int = 0
     serving: int = 0
     step_runs: dict[tuple[str, int, int], int] = attrs.field(factory=dict)
@@ -364,14 +371,14 @@
     clock_at: float | None = None
     lease_until: float = 0.0
     highest_end: int = 0
-    unstored: collections.deque[UnstoredEnd] = attrs.field(
+    unstored: collections.deque[UnstoredCompletion] = attrs.field(
         factory=collections.deque
     )
     stored_end: int = 0
     listed: bool = True
-    failures_in_row: int = 0
+    consecutive_failures: int = 0
     failed_jobs: set[str] = attrs.field(factory=set)
-    shunned_until: float = 0.0
+    quarantined_until: float = 0.0
     stalls: int = 0
     draining_since: float = 0.0
     failed_looks: int = 0
@@ -379,14 +386,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Bounds:
-    """Figures of the deployment that decisions use, in seconds.
+    """Time limits of the deployment, in seconds.
 
     Attributes
     ----------
     lease_s : float
-        Lease that is asked for with each start and hold.
+        Lease that each start and each poll requests.
     early_s : float
-        Time by which an occurrence may start before it is due.
+        How long before its due time an occurrence may start.
     stop_s : float
         Longest time that a stop takes.
     """
@@ -398,28 +405,29 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Pool:
-    """All that the owner of a service decides about.
+    """Jobs and workers of a service, as its owner schedules them.
 
     Attributes
     ----------
     service : str
-        The service.
+        Name of the service.
     bounds : Bounds
-        Figures of the deployment.
+        Time limits of the deployment.
     jobs : dict of str to Job
-        Jobs by id, also ended ones while callers may ask for them.
+        Jobs by id, including ended ones while callers may query them.
     workers : dict of str to Worker
-        Worker lifetimes by key.
+        Worker incarnations by key.
     active : dict of str to Job
         Jobs that are not in a terminal state.
     top_priority : int
         Priority of the service's most urgent queue.
     unknown_runs : dict of str to set of (str, int)
-        Runs that workers list and no job knows, by worker; to be stopped.
-        What they take is not known, so their workers get no new runs.
+        Listed runs that belong to no known job, by worker incarnation. They
+        have to be stopped. Their need is unknown, so no new runs are placed
+        on their workers.
     unanswered_starts : dict of str to set of (str, int)
-        Runs whose start was never answered before their lease ended, by the
-        worker's id. A later lifetime could still execute the start.
+        Runs whose start was not answered before their lease expired, by
+        worker id. A later incarnation could still execute the start.
     """
 
     service: str
@@ -433,12 +441,12 @@
 
 
 def worker_key(report: _specs.WorkerReport) -> str:
-    """Return the key of a worker's lifetime."""
+    """Return the key of the worker incarnation that a report describes."""
     return f"{report.id}@{report.born_ms}"
 
 
 def mark_changed(job: Job) -> None:
-    """Note that a job's record has to be stored."""
+    """Record that a job has changed and its record has to be stored."""
     job.dirty = True
     job.change += 1
 
@@ -455,7 +463,7 @@
 
 
 def set_unit_state(job: Job, unit: Unit, state: UnitState) -> None:
-    """Change a unit's state and the counts of its step."""
+    """Set a unit's state and update the counts of its step."""
     progress = job.steps[unit.key[:2]]
     progress.waiting += (state == UnitState.WAITING) - (
         unit.state == UnitState.WAITING
@@ -464,16 +472,16 @@
     unit.state = state
 
 
-def occupy(worker: Worker, run: Run) -> None:
-    """Reserve a run's need on its worker."""
+def allocate(worker: Worker, run: Run) -> None:
+    """Allocate the capacity that a run needs on its worker."""
     if run.key not in worker.runs:
         worker.runs[run.key] = run
         worker.used = model.add(worker.used, run.need)
         _count_run(worker, run, 1)
 
 
-def release(worker: Worker, run: Run) -> None:
-    """Free what a run has reserved, once it has provably ended."""
+def deallocate(worker: Worker, run: Run) -> None:
+    """Free the capacity of a run that is known to have ended."""
     if worker.runs.pop(run.key, None) is not None:
         worker.used = model.subtract(worker.used, run.need)
         _count_run(worker, run, -1)
@@ -482,7 +490,7 @@
 def _count_run(worker: Worker, run: Run, change: int) -> None:
     occurrence, number, _ = run.unit.key
     step = run.job.spec.steps[number]
-    worker.wanted_cpu_millis += change * step.need.cpu_millis
+    worker.requested_cpu_millis += change * step.need.cpu_millis
     worker.fillers += change * step.filler
     worker.serving += change * (step.latency_target_ms > 0)
     key = (run.job.spec.id, occurrence, number)
@@ -493,8 +501,12 @@
         del worker.step_runs[key]
 
 
-def reserved_need(step: _specs.StepSpec) -> model.Resources:
-    """Return what a task of a step takes of a worker's capacity."""
+def allocated_need(step: _specs.StepSpec) -> model.Resources:
+    """Return the capacity that a task of a step allocates on a worker.
+
+    Fillers use only processors that other tasks leave idle, and so allocate
+    none.
+    """
     if step.filler:
         return attrs.evolve(step.need, cpu_millis=0)
     return step.need
--- a/chestnuttide/workloads/_supervision.py
+++ b/chestnuttide/workloads/_supervision.py
@@ -1,33 +1,36 @@
-"""Runs that need attention: stalls, leaving workers, interference."""
+"""Handles stalled runs, draining workers and interference by fillers."""
 
 from chestnuttide.workloads import _lifecycle
 from chestnuttide.workloads import _specs
 from chestnuttide.workloads import _state
 
-# A run whose progress stands still for this long, and for this many times
-# the time that it needed for one percent before, is taken as hung.
+# A run counts as hung if it makes no progress for this many seconds and for
+# this multiple of its average time per percent.
 STALL_S = 2.0
-STALL_PER_PERCENT = 6.0
+STALL_FACTOR = 6.0
 
-# A lasting task begins to serve after a short startup.
+# Longest startup of a long-running task before it serves.
 STARTUP_S = 4.0
 
-# Stalled runs after which a worker is set aside, and for how long.
-STALLS_TO_SHUN = 2
-STALL_SHUN_S = 6.0
+# Stalled runs after which a worker is quarantined, and the duration of the
+# quarantine.
+QUARANTINE_STALLS = 2
+STALL_QUARANTINE_S = 6.0
 
-# A serving task above this share of its target has its neighbours paced
-# down; below the lower share they get some speed back.
-PACE_DOWN_AT = 0.85
-PACE_UP_BELOW = 0.6
-PACE_UP_PERCENT = 10
+# Fillers are throttled while a serving task on their worker has reached this
+# share of its latency target. Below the lower share their speed is raised by
+# UNTHROTTLE_STEP_PERCENT at a time.
+THROTTLE_FROM_SHARE = 0.85
+UNTHROTTLE_BELOW_SHARE = 0.6
+UNTHROTTLE_STEP_PERCENT = 10
 
-# A checkpoint is taken this long before a draining worker leaves.
+# Margin for moving checkpointable runs off a draining worker before it
+# leaves, in addition to the time that a stop takes.
 EVACUATION_MARGIN_S = 0.3
 
 
 def find_stalled(pool: _state.Pool, *, now: float) -> list[_state.Run]:
-    """Return runs that no longer progress although their worker answers."""
+    """Return runs without progress on workers that answer."""
     stalled = []
     for worker in pool.workers.values():
         if worker.failed_looks or not worker.seen_at:
@@ -42,37 +45,37 @@
     if run.stopping or run.phase != _state.Phase.RUNNING:
         return False
     step = _lifecycle.step_of(run.unit, run.job)
-    # The lists are as old as the last look.
-    silent_s = worker.seen_at - run.progress_at
+    # Progress is only known up to the last poll reply.
+    stalled_s = worker.seen_at - run.progress_at
     if step.lasting:
-        # A paced or disturbed task is not hung; only one that never came up.
-        return run.percent < 100 and silent_s > STARTUP_S
+        # A throttled or slowed task is not hung; only one that never served.
+        return run.percent < 100 and stalled_s > STARTUP_S
     if step.filler and run.pace_percent < 100:
         return False
     if any(each.phase != _state.Phase.RUNNING for each in run.unit.runs):
         return False
     elapsed_s = max(0.1, run.progress_at - run.confirmed_at)
     per_percent_s = elapsed_s / max(run.percent, 1.0)
-    return silent_s > max(STALL_S, STALL_PER_PERCENT * per_percent_s)
+    return stalled_s > max(STALL_S, STALL_FACTOR * per_percent_s)
 
 
 def stop_stalled(pool: _state.Pool, run: _state.Run, *, now: float) -> None:
-    """Stop a hung run, and set its worker aside if it has several."""
+    """Stop a hung run, and quarantine its worker if it had several."""
     run.unit.avoided.add(run.worker_key)
     worker = pool.workers[run.worker_key]
     worker.stalls += 1
-    if worker.stalls >= STALLS_TO_SHUN:
-        worker.shunned_until = now + STALL_SHUN_S
+    if worker.stalls >= QUARANTINE_STALLS:
+        worker.quarantined_until = now + STALL_QUARANTINE_S
     _lifecycle.stop_runs(pool, run.unit)
 
 
 def evacuate(
     pool: _state.Pool, *, now: float, stop_s: float
 ) -> list[_state.Run]:
-    """Stop what should move away from draining workers; return the runs.
+    """Stop the runs that should move off draining workers, and return them.
 
-    Lasting tasks move at once. Checkpointable ones go on until just before
-    the worker leaves, unless they end before.
+    Long-running tasks move at once. Checkpointable tasks continue until just
+    before the worker leaves, in case they finish earlier.
     """
     moved = []
     for worker in pool.workers.values():
@@ -83,8 +86,8 @@
             if run.stopping or run.phase != _state.Phase.RUNNING:
                 continue
             step = _lifecycle.step_of(run.unit, run.job)
-            last_call = leaves_at - stop_s - EVACUATION_MARGIN_S
-            if step.lasting or (step.checkpointable and now >= last_call):
+            stop_at = leaves_at - stop_s - EVACUATION_MARGIN_S
+            if step.lasting or (step.checkpointable and now >= stop_at):
                 moved.append(run)
     for run in moved:
         _lifecycle.stop_runs(pool, run.unit)
@@ -92,14 +95,14 @@
 
 
 def pace_fillers(worker: _state.Worker) -> list[_state.Run]:
-    """Set the speed of fillers from the latency of their neighbours.
+    """Throttle fillers by the latency of serving tasks on their worker.
 
     Returns
     -------
     list of Run
-        Runs whose speed has to be sent to the worker.
+        Fillers whose new speed has to be sent to the worker.
     """
-    load = 0.0
+    latency_share = 0.0
     fillers = []
     for run in worker.runs.values():
         if run.phase != _state.Phase.RUNNING or run.stopping:
@@ -108,12 +111,16 @@
         if step.filler:
             fillers.append(run)
         elif step.latency_target_ms > 0:
-            load = max(load, _latency_share(run, step))
+            latency_share = max(latency_share, _latency_share(run, step))
     for run in fillers:
-        if load >= PACE_DOWN_AT:
-            run.pace_percent = run.pace_percent // 2 if load < 1.0 else 0
-        elif load < PACE_UP_BELOW:
-            run.pace_percent = min(100, run.pace_percent + PACE_UP_PERCENT)
+        if latency_share >= THROTTLE_FROM_SHARE:
+            run.pace_percent = (
+                run.pace_percent // 2 if latency_share < 1.0 else 0
+            )
+        elif latency_share < UNTHROTTLE_BELOW_SHARE:
+            run.pace_percent = min(
+                100, run.pace_percent + UNTHROTTLE_STEP_PERCENT
+            )
     return [run for run in fillers if run.pace_percent != run.paced_percent]
 
 
--- a/chestnuttide/workloads/tests/_world.py
+++ b/chestnuttide/workloads/tests/_world.py
@@ -1,4 +1,4 @@
-"""A pool with workers whose lists the tests write themselves."""
+"""A pool of workers whose poll replies are written by the tests."""
 
 import attrs
 
@@ -10,8 +10,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Row:
-    """A listed run."""
+class RunRow:
+    """A run that a worker lists as running."""
 
     task: str
     run: int
@@ -21,8 +21,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class End:
-    """A listed end."""
+class CompletionRow:
+    """A completion that a worker lists."""
 
     number: int
     task: str
@@ -32,7 +32,7 @@
 
 
 def make_pool(count: int = 2, **capacity: int) -> workloads.Pool:
-    """Return a pool of workers that have answered once at time 0."""
+    """Return a pool of workers that have been polled once at time 0."""
     pool = workloads.Pool(
         service="workshop", bounds=workloads.Bounds(lease_s=LEASE_S)
     )
@@ -49,7 +49,7 @@
     rack: str = "r1-1",
     labels: tuple[str, ...] = (),
 ) -> workloads.Worker:
-    """Add a worker that may be used at once."""
+    """Add a worker that is usable at once."""
     report = workloads.WorkerReport(
         id=worker_id,
         born_ms=1,
@@ -71,7 +71,7 @@
 
 
 def make_step(**fields: object) -> workloads.StepSpec:
-    """Return a step of one small task, with changed fields."""
+    """Return a step of one small task, with the given fields changed."""
     fields.setdefault("count", 1)
     fields.setdefault("need", model.Resources(cpu_millis=1000, memory_mb=100))
     return workloads.StepSpec(**fields)
@@ -114,7 +114,7 @@
 def start_all(
     pool: workloads.Pool, *, now: float = 0.1
 ) -> list[workloads.Run]:
-    """Plan, and confirm each planned run."""
+    """Run a planning round and confirm the start of each planned run."""
     runs = list(workloads.make_plan(pool, now=now).runs)
     for run in runs:
         run.phase = workloads.Phase.ORDERED
@@ -123,16 +123,16 @@
     return runs
 
 
-def look(
+def apply_reply(
     pool: workloads.Pool,
     worker_key: str,
     *,
-    running: tuple[Row, ...] = (),
-    ended: tuple[End, ...] = (),
+    running: tuple[RunRow, ...] = (),
+    ended: tuple[CompletionRow, ...] = (),
     sent_at: float = 1.0,
     clock_ms: int = 2000,
 ) -> list[tuple[workloads.Run, str]]:
-    """Apply a worker's lists."""
+    """Apply a poll reply of a worker."""
     return workloads.apply_look(
         pool,
         pool.workers[worker_key],
@@ -155,18 +155,20 @@
     sent_at: float = 1.0,
     checkpoint: str = "",
 ) -> None:
-    """Let a run's worker list its end, and all others as running."""
+    """Apply a poll reply that lists a run as ended, all others as running."""
     worker = pool.workers[run.worker_key]
     others = tuple(
-        Row(task=other.task, run=other.number)
+        RunRow(task=other.task, run=other.number)
         for other in worker.runs.values()
         if other is not run
     )
-    end = End(
+    completion = CompletionRow(
         number=worker.highest_end + 1,
         task=run.task,
         run=run.number,
         how=how,
         checkpoint=checkpoint,
     )
-    look(pool, worker.key, running=others, ended=(end,), sent_at=sent_at)
+    apply_reply(
+        pool, worker.key, running=others, ended=(completion,), sent_at=sent_at
+    )
--- a/chestnuttide/workloads/tests/test_lifecycle.py
+++ b/chestnuttide/workloads/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Ends of runs, and what becomes of their units and jobs."""
+"""Completions of runs, and their effect on units and jobs."""
 
 import pytest
 
@@ -9,31 +9,31 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "state", "failures"),
+    ("completions", "state", "failures"),
     [
         pytest.param(["done"], STATES.COMPLETE, 0, id="done-completes"),
         pytest.param(["failed"], STATES.RUNNING, 1, id="one-failure-retries"),
         pytest.param(
-            ["failed", "failed"], STATES.FAILED, 2, id="budget-ends-the-job"
+            ["failed", "failed"], STATES.FAILED, 2, id="attempt-limit-reached"
         ),
         pytest.param(
             ["stopped", "lapsed", "broken", "alone", "failed"],
             STATES.RUNNING,
             1,
-            id="other-ends-cost-no-attempt",
+            id="other-completions-use-no-attempt",
         ),
         pytest.param(
             ["failed", "done"], STATES.COMPLETE, 1, id="retry-completes"
         ),
     ],
 )
-def test_ends_of_one_task(
-    ends: list[str], state: workloads.JobState, failures: int
+def test_completions_of_one_task(
+    completions: list[str], state: workloads.JobState, failures: int
 ) -> None:
-    """Guards against runs after the budget, and against lost retries."""
+    """Guards against runs beyond the attempt limit and missing retries."""
     pool = _world.make_pool()
     job = _world.submit(pool, _world.make_step())
-    for number, how in enumerate(ends, start=1):
+    for number, how in enumerate(completions, start=1):
         now = float(number)
         (run,) = _world.start_all(pool, now=now)
         assert run.number == number
@@ -44,19 +44,21 @@
         assert not workloads.make_plan(pool, now=100.0).runs
 
 
-def test_an_end_that_is_listed_twice_counts_once() -> None:
-    """Guards against a budget used up by one repeated list."""
+def test_a_completion_that_is_listed_twice_counts_once() -> None:
+    """Guards against attempts used up by a repeated poll reply."""
     pool = _world.make_pool(1)
     job = _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool)
-    end = _world.End(number=1, task=run.task, run=1, how="failed")
-    _world.look(pool, run.worker_key, ended=(end,))
-    _world.look(pool, run.worker_key, ended=(end,), sent_at=2.0)
+    completion = _world.CompletionRow(
+        number=1, task=run.task, run=1, how="failed"
+    )
+    _world.apply_reply(pool, run.worker_key, ended=(completion,))
+    _world.apply_reply(pool, run.worker_key, ended=(completion,), sent_at=2.0)
     assert job.units[(0, 0, 0)].failures == 1
 
 
-def test_a_step_waits_for_all_tasks_before_it() -> None:
-    """Guards against a start before its predecessors are done."""
+def test_a_step_waits_for_all_tasks_of_its_predecessors() -> None:
+    """Guards against a start before all predecessors are done."""
     pool = _world.make_pool()
     job = _world.submit(
         pool, _world.make_step(count=2), _world.make_step(after=(0,))
@@ -71,7 +73,7 @@
     assert job.state == STATES.COMPLETE
 
 
-def test_a_lasting_task_is_restarted_however_it_ends() -> None:
+def test_a_long_running_task_is_restarted_however_it_ends() -> None:
     """Guards against a service that stays down after its task has ended."""
     pool = _world.make_pool()
     job = _world.submit(pool, _world.make_step(lasting=True))
@@ -87,7 +89,7 @@
 def test_nothing_starts_after_a_cancel(
     phase: workloads.Phase | None,
 ) -> None:
-    """Guards against starts of a cancelled job, whatever a run's phase."""
+    """Guards against starts of a cancelled job in any phase of a run."""
     pool = _world.make_pool()
     job = _world.submit(pool, _world.make_step(), _world.make_step())
     if phase is not None:
@@ -105,13 +107,13 @@
     ("step", "resumed"),
     [
         pytest.param({"checkpointable": True}, "c7", id="resumes"),
-        pytest.param({}, "", id="not-checkpointable-starts-anew"),
+        pytest.param({}, "", id="not-checkpointable-starts-over"),
     ],
 )
 def test_checkpoint_of_a_stopped_run(
     step: dict[str, bool], resumed: str
 ) -> None:
-    """Guards against lost progress, and against a foreign checkpoint."""
+    """Guards against lost progress and checkpoints that do not apply."""
     pool = _world.make_pool()
     _world.submit(pool, _world.make_step(**step))
     (run,) = _world.start_all(pool)
@@ -121,7 +123,7 @@
 
 
 def test_a_gang_starts_again_only_when_all_members_have_ended() -> None:
-    """Guards against a member that runs twice in two runs of its gang."""
+    """Guards against a member running in two runs of its gang at once."""
     pool = _world.make_pool(2)
     _world.submit(pool, _world.make_step(count=4, gang=True))
     runs = _world.start_all(pool)
@@ -137,7 +139,7 @@
 
 
 def test_one_failed_gang_is_one_attempt() -> None:
-    """Guards against a budget that each member of a gang uses up."""
+    """Guards against one used-up attempt per member of a gang."""
     pool = _world.make_pool(2)
     job = _world.submit(pool, _world.make_step(count=3, gang=True))
     runs = _world.start_all(pool)
--- a/chestnuttide/workloads/tests/test_planning.py
+++ b/chestnuttide/workloads/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Placement: capacity, limits, and the advisor."""
+"""Placement by capacity and limits, and advisor queries."""
 
 import pytest
 
@@ -29,10 +29,10 @@
         pytest.param({"need": _need(4001)}, 0, id="larger-than-any-worker"),
     ],
 )
-def test_room_on_two_workers_of_four_cores(
+def test_capacity_of_two_workers_of_four_cores(
     step: dict[str, object], placed: int
 ) -> None:
-    """Guards against a worker over its capacity or a limit."""
+    """Guards against placements beyond a worker's capacity or a limit."""
     pool = _world.make_pool(2)
     _world.submit(pool, _world.make_step(**step))
     assert len(workloads.make_plan(pool, now=0.1).runs) == placed
@@ -40,8 +40,8 @@
         assert worker.used.cpu_millis <= 4000
 
 
-def test_a_stopping_run_still_takes_room() -> None:
-    """Guards against a start beside a run that is being stopped."""
+def test_a_stopping_run_still_uses_capacity() -> None:
+    """Guards against a start on capacity that a stopping run still uses."""
     pool = _world.make_pool(1)
     first = _world.submit(pool, _world.make_step(need=_need(4000)))
     _world.start_all(pool)
@@ -54,13 +54,13 @@
     "change",
     [
         pytest.param({"listed": False}, id="not-listed"),
-        pytest.param({"failed_looks": 1}, id="silent"),
-        pytest.param({"shunned_until": 9.0}, id="set-aside"),
-        pytest.param({"seen_at": 0.0}, id="not-yet-seen-by-this-owner"),
+        pytest.param({"failed_looks": 1}, id="unresponsive"),
+        pytest.param({"quarantined_until": 9.0}, id="quarantined"),
+        pytest.param({"seen_at": 0.0}, id="not-yet-polled-by-this-owner"),
     ],
 )
 def test_unusable_workers(change: dict[str, object]) -> None:
-    """Guards against starts on workers that may not get any."""
+    """Guards against starts on unusable workers."""
     pool = _world.make_pool(1)
     for name, value in change.items():
         setattr(pool.workers["w0@1"], name, value)
@@ -68,34 +68,34 @@
     assert not workloads.make_plan(pool, now=1.0).runs
 
 
-def test_the_advisor_is_asked_before_a_start() -> None:
-    """Guards against starts without a ticket or on a forbidden worker."""
+def test_the_advisor_is_queried_before_a_start() -> None:
+    """Guards against starts without a ticket or on a rejected worker."""
     pool = _world.make_pool(3)
     _world.submit(pool, _world.make_step(), advice=ADVICE)
     plan = workloads.make_plan(pool, now=1.0)
     assert not plan.runs
-    (question,) = plan.questions
-    assert len(question.workers) == 3
-    workloads.note_question(question)
+    (query,) = plan.questions
+    assert len(query.workers) == 3
+    workloads.note_question(query)
     assert not workloads.make_plan(pool, now=1.1).questions
-    workloads.note_advice(question, {"w1": "t"}, now=2.0, retry_s=0.1)
+    workloads.note_advice(query, {"w1": "t"}, now=2.0, retry_s=0.1)
     (run,) = workloads.make_plan(pool, now=2.1).runs
     assert (run.worker_key, run.ticket) == ("w1@1", "t")
 
 
 def test_an_expired_ticket_is_not_used() -> None:
-    """Guards against starts that are rejected for their ticket."""
+    """Guards against starts that workers reject for an expired ticket."""
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step(), advice=ADVICE)
-    (question,) = workloads.make_plan(pool, now=1.0).questions
-    workloads.note_question(question)
-    workloads.note_advice(question, {"w0": "t"}, now=2.0, retry_s=0.1)
+    (query,) = workloads.make_plan(pool, now=1.0).questions
+    workloads.note_question(query)
+    workloads.note_advice(query, {"w0": "t"}, now=2.0, retry_s=0.1)
     plan = workloads.make_plan(pool, now=3.95)
     assert not plan.runs
     assert [each.report.id for each in plan.questions[0].workers] == ["w0"]
 
 
-def test_a_job_that_is_not_stored_waits_with_its_start() -> None:
+def test_runs_of_a_job_that_is_not_stored_stay_planned() -> None:
     """Guards against planned runs that are lost when a job is stored."""
     pool = _world.make_pool(1)
     job = _world.submit(pool, _world.make_step())
@@ -105,7 +105,7 @@
 
 
 def test_a_large_task_is_not_overtaken_by_less_urgent_ones() -> None:
-    """Guards against large tasks that wait for ever behind small ones."""
+    """Guards against large tasks that are starved by small ones."""
     pool = _world.make_pool(1)
     pool.top_priority = 1
     small = _world.submit(
@@ -130,21 +130,21 @@
 
 
 @pytest.mark.parametrize(
-    ("lasting_cpu", "priority", "placed"),
+    ("used_cpu", "priority", "placed"),
     [
-        pytest.param(1500, 2, 1, id="half-of-the-capacity-is-free"),
-        pytest.param(2500, 2, 0, id="busy-keeps-room-for-urgent-work"),
-        pytest.param(2500, 0, 1, id="urgent-work-takes-it"),
+        pytest.param(1500, 2, 1, id="less-than-half-is-used"),
+        pytest.param(2500, 2, 0, id="busy-reserves-for-urgent-work"),
+        pytest.param(2500, 0, 1, id="urgent-work-uses-the-reserve"),
     ],
 )
-def test_room_for_urgent_work(
-    lasting_cpu: int, priority: int, placed: int
+def test_capacity_for_urgent_work(
+    used_cpu: int, priority: int, placed: int
 ) -> None:
     """Guards against urgent work that waits, and against idle workers."""
     pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step(need=_need(lasting_cpu)))
+    _world.submit(pool, _world.make_step(need=_need(used_cpu)))
     _world.start_all(pool)
-    rest = 4000 - lasting_cpu - 100
+    rest = 4000 - used_cpu - 100
     _world.submit(
         pool,
         _world.make_step(need=_need(rest)),
@@ -155,7 +155,7 @@
 
 
 def test_a_failed_unit_avoids_its_worker() -> None:
-    """Guards against attempts that are used up on one bad worker."""
+    """Guards against all attempts being used up on one faulty worker."""
     pool = _world.make_pool(2)
     _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool)
@@ -164,8 +164,8 @@
     assert again.worker_key != run.worker_key
 
 
-def test_a_worker_that_fails_several_jobs_is_set_aside() -> None:
-    """Guards against a worker that fails everything and looks idle."""
+def test_a_worker_that_fails_several_jobs_is_quarantined() -> None:
+    """Guards against a faulty worker that attracts work as it looks idle."""
     pool = _world.make_pool(1)
     for number in range(3):
         _world.submit(
@@ -177,47 +177,45 @@
     assert workloads.make_plan(pool, now=20.0).runs
 
 
-def _ask(
+def _answer_query(
     pool: workloads.Pool, tickets: dict[str, str], *, now: float
 ) -> tuple[str, ...]:
-    """Answer the one question of a round, and return the named workers."""
-    (question,) = workloads.make_plan(pool, now=now).questions
-    workloads.note_question(question)
-    workloads.note_advice(question, tickets, now=now, retry_s=0.1)
-    return tuple(worker.report.id for worker in question.workers)
+    """Answer the only query of a planning round; return its workers."""
+    (query,) = workloads.make_plan(pool, now=now).questions
+    workloads.note_question(query)
+    workloads.note_advice(query, tickets, now=now, retry_s=0.1)
+    return tuple(worker.report.id for worker in query.workers)
 
 
-def test_workers_not_yet_judged_are_asked_for_when_the_allowed_are_full() -> (
-    None
-):
-    """Guards against a task that waits for ever beside free workers.
+def test_unassessed_workers_are_queried_when_the_allowed_are_full() -> None:
+    """Guards against a task that waits for ever although workers are free.
 
-    The first question names a limited number of workers; the allowed one is
-    then kept full by more urgent work.
+    The first query names only a limited number of workers, and the allowed
+    one is then filled by more urgent work.
     """
     pool = _world.make_pool(2)
-    pool.workers["w1@1"].failures_in_row = 5
+    pool.workers["w1@1"].consecutive_failures = 5
     narrow = workloads.Advice(decide_s=0.1, per_worker_s=0.05, validity_s=2.0)
     job = _world.submit(
         pool, _world.make_step(need=_need(3000)), advice=narrow, priority=1
     )
-    assert _ask(pool, {"w0": "t"}, now=1.0) == ("w0",)
+    assert _answer_query(pool, {"w0": "t"}, now=1.0) == ("w0",)
     _world.submit(
         pool,
         _world.make_step(count=2, need=_need(1500), label="r1-1"),
         job_id="00000000000000bb",
     )
-    pool.workers["w1@1"].shunned_until = 1.2
+    pool.workers["w1@1"].quarantined_until = 1.2
     workloads.make_plan(pool, now=1.1)
     (step,) = job.advice.values()
     step.good.clear()
-    assert "w1" in _ask(pool, {"w1": "t"}, now=1.5)
+    assert "w1" in _answer_query(pool, {"w1": "t"}, now=1.5)
     (run,) = workloads.make_plan(pool, now=1.6).runs
     assert run.worker_key == "w1@1"
 
 
-def test_lasting_tasks_come_before_urgent_ones() -> None:
-    """Guards against a lasting task that stays away on a full service."""
+def test_long_running_tasks_are_placed_before_urgent_ones() -> None:
+    """Guards against a long-running task that stays down on a full service."""
     pool = _world.make_pool(1)
     _world.submit(
         pool,
@@ -238,17 +236,17 @@
 @pytest.mark.parametrize(
     ("width", "placed"),
     [
-        pytest.param(3, 1, id="gang-that-never-fits-keeps-nothing"),
-        pytest.param(2, 0, id="gang-that-will-fit-keeps-room"),
+        pytest.param(3, 1, id="gang-that-never-fits"),
+        pytest.param(2, 0, id="gang-that-will-fit"),
     ],
 )
-def test_room_is_kept_only_for_gangs_that_can_fit(
+def test_capacity_is_reserved_only_for_gangs_that_can_fit(
     width: int, placed: int
 ) -> None:
-    """Guards against an idle worker that a gang without hope keeps.
+    """Guards against workers reserved for a gang that can never start.
 
-    Found by a hunt: the advisor allowed a gang too few workers, and a job
-    with the same one allowed worker waited until the end of the day.
+    The advisor allowed a gang too few workers. A job for which it allowed
+    only one of these workers waited until the end of the day.
     """
     pool = _world.make_pool(2)
     _world.submit(
@@ -272,21 +270,21 @@
 @pytest.mark.parametrize(
     ("now", "placed"),
     [
-        pytest.param(1.0, 0, id="kept-at-first"),
-        pytest.param(3.5, 1, id="free-again"),
+        pytest.param(1.0, 0, id="reserved-at-first"),
+        pytest.param(3.5, 1, id="reservation-over"),
     ],
 )
-def test_an_idle_service_keeps_no_worker_for_long(
+def test_reservations_on_an_idle_service_are_short(
     now: float, placed: int
 ) -> None:
-    """Guards against work that waits beside free room.
+    """Guards against work that waits although there is free capacity.
 
-    Found by a hunt: a large task kept the one allowed worker of a small one
-    until the end of the day.
+    A worker stayed reserved for a large task until the end of the day, and a
+    small task for which only this worker was allowed could not start.
     """
     pool = _world.make_pool(3)
     for key in ("w1@1", "w2@1"):
-        pool.workers[key].shunned_until = 99.0
+        pool.workers[key].quarantined_until = 99.0
     _world.submit(pool, _world.make_step(), job_id="00000000000000a1")
     _world.start_all(pool)
     _world.submit(
--- a/chestnuttide/workloads/tests/test_looks.py
+++ b/chestnuttide/workloads/tests/test_poll_replies.py
@@ -1,4 +1,4 @@
-"""Doubt about a run: unanswered starts, silence and lost workers."""
+"""Uncertain runs: unanswered starts, unresponsive and lost workers."""
 
 import attrs
 import pytest
@@ -16,13 +16,13 @@
 
 
 @pytest.mark.parametrize(
-    ("clock_ms", "stop_acknowledged_at", "sent_at", "listed", "again"),
+    ("clock_ms", "stop_acknowledged_at", "sent_at", "listed", "replanned"),
     [
-        pytest.param(4999, 0.0, 1.0, False, False, id="may-still-begin"),
-        pytest.param(5001, 0.0, 1.0, False, True, id="lease-has-passed"),
-        pytest.param(2000, 0.5, 1.0, False, True, id="stop-was-answered"),
-        pytest.param(2000, 1.5, 1.0, False, False, id="look-before-stop"),
-        pytest.param(5001, 0.0, 1.0, True, False, id="it-runs"),
+        pytest.param(4999, 0.0, 1.0, False, False, id="may-still-start"),
+        pytest.param(5001, 0.0, 1.0, False, True, id="lease-expired"),
+        pytest.param(2000, 0.5, 1.0, False, True, id="stop-answered"),
+        pytest.param(2000, 1.5, 1.0, False, False, id="polled-before-stop"),
+        pytest.param(5001, 0.0, 1.0, True, False, id="running"),
     ],
 )
 def test_an_unanswered_start(
@@ -30,21 +30,21 @@
     stop_acknowledged_at: float,
     sent_at: float,
     listed: bool,
-    again: bool,
+    replanned: bool,
 ) -> None:
-    """Guards against a second run while a late start may still begin."""
+    """Guards against a second run while a late start may take effect."""
     pool = _world.make_pool(1)
     run = _uncertain(pool)
     run.stop_acknowledged_at = stop_acknowledged_at
-    rows = (_world.Row(task=run.task, run=1),) if listed else ()
-    _world.look(
+    rows = (_world.RunRow(task=run.task, run=1),) if listed else ()
+    _world.apply_reply(
         pool,
         run.worker_key,
         running=rows,
         sent_at=sent_at,
         clock_ms=clock_ms,
     )
-    assert bool(workloads.make_plan(pool, now=3.0).runs) == again
+    assert bool(workloads.make_plan(pool, now=3.0).runs) == replanned
     if listed:
         assert run.phase == workloads.Phase.RUNNING
 
@@ -52,35 +52,35 @@
 @pytest.mark.parametrize(
     ("sent_at", "lost"),
     [
-        pytest.param(0.05, False, id="look-overtaken-by-the-start"),
-        pytest.param(0.2, True, id="look-after-the-start"),
+        pytest.param(0.05, False, id="polled-before-the-start"),
+        pytest.param(0.2, True, id="polled-after-the-start"),
     ],
 )
 def test_a_confirmed_run_that_is_not_listed(
     sent_at: float, lost: bool
 ) -> None:
-    """Guards against a second run because answers overtook each other."""
+    """Guards against a second run when replies arrive out of order."""
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool, now=0.1)
-    ends = _world.look(pool, run.worker_key, sent_at=sent_at)
-    assert bool(ends) == lost
+    ended = _world.apply_reply(pool, run.worker_key, sent_at=sent_at)
+    assert bool(ended) == lost
 
 
 @pytest.mark.parametrize(
-    ("now", "lapsed"),
+    ("now", "expired"),
     [
-        # Granted at 0.5 for 2.5 s on a clock that is 2% slow since 0, so it
-        # ends at 3.0 / 0.98 = 3.06, and 0.1 s are added.
-        pytest.param(3.0, False, id="before-the-lease"),
-        pytest.param(3.1, False, id="within-the-drift"),
+        # Granted at 0.5 for 2.5 s on a clock that runs 2% slow from 0 on, so
+        # it expires at 3.0 / 0.98 = 3.06, plus a margin of 0.1 s.
+        pytest.param(3.0, False, id="before-expiry"),
+        pytest.param(3.1, False, id="within-clock-drift"),
         pytest.param(3.7, True, id="after-drift-and-margin"),
     ],
 )
-def test_a_silent_worker_lapses_after_its_lease(
-    now: float, lapsed: bool
+def test_runs_of_an_unresponsive_worker_end_after_its_lease(
+    now: float, expired: bool
 ) -> None:
-    """Guards against a second run while a cut worker may still run it."""
+    """Guards against a second run while a cut-off worker may still run it."""
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool)
@@ -93,23 +93,24 @@
     runs = workloads.lapse_silent_worker(
         pool, worker, now=now, now_unix_s=_world.UNIX_S
     )
-    assert bool(runs) == lapsed
+    assert bool(runs) == expired
 
 
 @pytest.mark.parametrize(
-    ("failed_looks", "extended"),
+    ("failed_looks", "renewed"),
     [
         pytest.param(0, True, id="answers"),
-        pytest.param(1, False, id="silent"),
+        pytest.param(1, False, id="unresponsive"),
     ],
 )
-def test_looks_extend_the_lease_of_workers_that_answer(
-    failed_looks: int, extended: bool
+def test_polls_renew_the_lease_of_workers_that_answer(
+    failed_looks: int, renewed: bool
 ) -> None:
-    """Guards against a dead worker whose runs never lapse.
+    """Guards against a dead worker whose runs never expire.
 
-    Found by hunts: mix --seed 511913586748 of gnomon-coop and mix --seed
-    992292016307 of voicecast, LOST at the end of the day.
+    Failed polls kept renewing the lease, so the jobs were still reported as
+    LOST at the end of the day: mix --seed 511913586748 of gnomon-coop and
+    mix --seed 992292016307 of voicecast.
     """
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step())
@@ -119,36 +120,38 @@
     deadline = workloads.hold_deadline_ms(
         worker, now=1.0, lease_s=_world.LEASE_S
     )
-    assert (deadline is not None) == extended
+    assert (deadline is not None) == renewed
 
 
-def test_a_worker_runs_what_no_job_knows() -> None:
-    """Guards against a run that nobody stops, or counts, after a takeover.
+def test_a_worker_lists_a_run_of_no_known_job() -> None:
+    """Guards against runs that are not stopped or counted after a takeover.
 
-    A job that ended just before has no record of its runs, which are still
-    being stopped and take room of an unknown size.
+    The record of a job that ended just before does not contain its runs.
+    They are still being stopped and use an unknown amount of capacity.
     """
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step())
-    _world.look(pool, "w0@1", running=(_world.Row(task="x.0.0.0", run=3),))
+    _world.apply_reply(
+        pool, "w0@1", running=(_world.RunRow(task="x.0.0.0", run=3),)
+    )
     assert pool.unknown_runs == {"w0@1": {("x.0.0.0", 3)}}
     assert not workloads.make_plan(pool, now=2.0).runs
-    _world.look(pool, "w0@1", sent_at=2.0)
+    _world.apply_reply(pool, "w0@1", sent_at=2.0)
     assert workloads.make_plan(pool, now=3.0).runs
 
 
 @pytest.mark.parametrize(
     ("listed", "state"),
     [
-        pytest.param("running", workloads.UnitState.ACTIVE, id="runs"),
-        pytest.param("done", workloads.UnitState.DONE, id="has-ended"),
-        pytest.param("", workloads.UnitState.WAITING, id="never-began"),
+        pytest.param("running", workloads.UnitState.ACTIVE, id="running"),
+        pytest.param("done", workloads.UnitState.DONE, id="ended"),
+        pytest.param("", workloads.UnitState.WAITING, id="never-started"),
     ],
 )
-def test_a_successor_decides_by_the_workers_lists(
+def test_a_new_owner_decides_by_poll_replies(
     listed: str, state: workloads.UnitState
 ) -> None:
-    """Guards against a second run of what the former owner had started."""
+    """Guards against a second run of a task that the former owner started."""
     former = _world.make_pool(1)
     job = _world.submit(former, _world.make_step())
     (run,) = _world.start_all(former)
@@ -164,13 +167,15 @@
         now_unix_s=_world.UNIX_S,
     )
     assert not workloads.make_plan(pool, now=5.0).runs
-    row = _world.Row(task=run.task, run=1)
-    end = _world.End(number=1, task=run.task, run=1, how="done")
-    _world.look(
+    row = _world.RunRow(task=run.task, run=1)
+    completion = _world.CompletionRow(
+        number=1, task=run.task, run=1, how="done"
+    )
+    _world.apply_reply(
         pool,
         "w0@1",
         running=(row,) if listed == "running" else (),
-        ended=(end,) if listed == "done" else (),
+        ended=(completion,) if listed == "done" else (),
         sent_at=5.1,
     )
     assert job.units[(0, 0, 0)].state == state
@@ -178,8 +183,8 @@
         assert again.number == 2
 
 
-def test_a_successor_waits_for_a_worker_that_it_cannot_reach() -> None:
-    """Guards against a second run of what an unlisted worker may run."""
+def test_a_new_owner_waits_for_a_worker_that_it_cannot_reach() -> None:
+    """Guards against a second run of a task on an unlisted worker."""
     former = _world.make_pool(1)
     job = _world.submit(former, _world.make_step())
     _world.start_all(former)
@@ -195,13 +200,13 @@
         now=5.0,
         now_unix_s=_world.UNIX_S,
     )
-    holder = pool.workers["w0@1"]
+    placeholder = pool.workers["w0@1"]
     assert not workloads.lapse_silent_worker(
-        pool, holder, now=19.9, now_unix_s=_world.UNIX_S
+        pool, placeholder, now=19.9, now_unix_s=_world.UNIX_S
     )
     assert not workloads.make_plan(pool, now=19.9).runs
     workloads.lapse_silent_worker(
-        pool, holder, now=20.1, now_unix_s=_world.UNIX_S
+        pool, placeholder, now=20.1, now_unix_s=_world.UNIX_S
     )
     (run,) = workloads.make_plan(pool, now=20.2).runs
     assert (run.number, run.worker_key) == (2, "other@1")
@@ -210,49 +215,51 @@
 @pytest.mark.parametrize(
     ("listed", "seen", "state"),
     [
-        pytest.param(True, "", workloads.UnitState.WAITING, id="ran-before"),
         pytest.param(
-            False, "runs", workloads.UnitState.ACTIVE, id="reached-the-new-one"
+            True, "", workloads.UnitState.WAITING, id="ran-before-restart"
+        ),
+        pytest.param(
+            False, "runs", workloads.UnitState.ACTIVE, id="runs-after-restart"
         ),
         pytest.param(
             False, "absent", workloads.UnitState.ACTIVE, id="may-still-arrive"
         ),
         pytest.param(
-            False, "rejected", workloads.UnitState.WAITING, id="never-will"
+            False, "rejected", workloads.UnitState.WAITING, id="stop-answered"
         ),
     ],
 )
 def test_a_start_across_a_restart_of_its_worker(
     listed: bool, seen: str, state: workloads.UnitState
 ) -> None:
-    """Guards against a second run of a task that the new lifetime runs.
+    """Guards against a second run of a task that the new incarnation runs.
 
-    The worker has started again under its id between the choice of the
-    worker and the start; seed 1014 of the soak found two runs at once.
+    The worker restarted under its id after it was chosen and before the
+    start arrived, and the task ran twice at once (seed 1014 of the soak).
     """
     pool = _world.make_pool(1)
     job = _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool)
     former = pool.workers["w0@1"]
     if listed:
-        row = _world.Row(task=run.task, run=run.number)
-        _world.look(pool, "w0@1", running=(row,))
-    handed = workloads.begin_lifetime(pool, former, 2)
+        row = _world.RunRow(task=run.task, run=run.number)
+        _world.apply_reply(pool, "w0@1", running=(row,))
+    moved = workloads.begin_lifetime(pool, former, 2)
     workloads.end_lifetime(pool, former, now=2.0, now_unix_s=_world.UNIX_S)
-    assert bool(handed) is not listed
+    assert bool(moved) is not listed
     if seen == "rejected":
         run.stop_acknowledged_at = 2.5
     if seen:
-        row = _world.Row(task=run.task, run=run.number)
+        row = _world.RunRow(task=run.task, run=run.number)
         running = (row,) if seen == "runs" else ()
-        _world.look(pool, "w0@2", running=running, sent_at=3.0)
+        _world.apply_reply(pool, "w0@2", running=running, sent_at=3.0)
     (unit,) = job.units.values()
     assert unit.state == state
     assert len(unit.runs) == (state == workloads.UnitState.ACTIVE)
 
 
-def test_an_unanswered_start_is_remembered_for_the_next_lifetime() -> None:
-    """Guards against a late start at a worker that has started again."""
+def test_an_unanswered_start_is_kept_for_the_next_incarnation() -> None:
+    """Guards against a late start at a worker that has restarted."""
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step())
     (run,) = workloads.make_plan(pool, now=0.1).runs
@@ -265,11 +272,11 @@
     assert pool.unanswered_starts == {"w0": {run.key}}
 
 
-def test_runs_of_an_unseen_restart_take_room_of_the_new_lifetime() -> None:
+def test_unconfirmed_runs_use_capacity_of_the_new_incarnation() -> None:
     """Guards against a worker over its capacity after a quick restart.
 
-    Seed 1009 of the soak: starts for the former lifetime reached the new one,
-    which looked empty to the owner.
+    Starts for the former incarnation reached the new one, which the owner
+    took for empty (seed 1009 of the soak).
     """
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step(count=3))
@@ -287,16 +294,16 @@
     ("failed_looks", "acknowledged"),
     [
         pytest.param(0, 7, id="answers"),
-        pytest.param(1, 0, id="may-have-started-again"),
+        pytest.param(1, 0, id="may-have-restarted"),
     ],
 )
-def test_ends_of_a_new_lifetime_are_not_acknowledged_unseen(
+def test_completions_of_a_new_incarnation_are_not_acknowledged_unread(
     failed_looks: int, acknowledged: int
 ) -> None:
-    """Guards against ends that are forgotten before they were read.
+    """Guards against completions acknowledged before they were read.
 
-    Seed 1010 of the soak: a look that was meant for the former lifetime
-    acknowledged the first ends of the new one, and the tasks ran again.
+    A poll for the former incarnation acknowledged the first completions of
+    the new one, and the tasks ran again (seed 1010 of the soak).
     """
     pool = _world.make_pool(1)
     worker = pool.workers["w0@1"]
@@ -310,18 +317,18 @@
     [
         pytest.param((0, 0), 0, id="nothing-stored"),
         pytest.param((1, 0), 1, id="first-job-stored"),
-        pytest.param((0, 1), 0, id="only-a-later-end-stored"),
+        pytest.param((0, 1), 0, id="only-a-later-completion-stored"),
         pytest.param((1, 1), 2, id="both-stored"),
     ],
 )
-def test_ends_are_acknowledged_behind_what_is_stored(
+def test_only_stored_completions_are_acknowledged(
     stored: tuple[int, int], acknowledged: int
 ) -> None:
     """Guards against done tasks that run again after a takeover.
 
-    On scale-1 of gnomon-coop an end was acknowledged although the change of
-    its job that held it was dropped for the job's end, which was not stored
-    when all instances were killed.
+    On scale-1 of gnomon-coop a completion was acknowledged too early. The
+    job's change that contained it was superseded by the end of the job, which
+    was not yet stored when all instances were killed.
     """
     pool = _world.make_pool(1)
     jobs = [
@@ -343,19 +350,19 @@
 @pytest.mark.parametrize(
     ("stored", "listed", "finished"),
     [
-        pytest.param(False, False, False, id="its-end-is-not-stored"),
-        pytest.param(True, False, True, id="its-end-is-stored"),
+        pytest.param(False, False, False, id="completion-is-not-stored"),
+        pytest.param(True, False, True, id="completion-is-stored"),
         pytest.param(True, True, False, id="listed-again"),
     ],
 )
-def test_a_worker_is_remembered_until_its_ends_are_stored(
+def test_a_worker_is_kept_until_its_completions_are_stored(
     stored: bool, listed: bool, finished: bool
 ) -> None:
-    """Guards against ends that are acknowledged when a worker is back.
+    """Guards against done tasks that run again once a worker is listed again.
 
-    Hunts on voicecast found done tasks that ran again: the store lost the
-    worker's entry while the job's change was not answered yet, and the
-    worker was forgotten with its end.
+    The store lost the worker's entry while the write of the job's change was
+    unanswered. The worker was removed from the pool together with its
+    unstored completion, which was acknowledged later (hunts on voicecast).
     """
     pool = _world.make_pool(1)
     job = _world.submit(pool, _world.make_step(count=1))
--- a/chestnuttide/workloads/tests/test_properties.py
+++ b/chestnuttide/workloads/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties of a pool over random orders of events."""
+"""Invariants of a pool over random sequences of events."""
 
 import collections
 import random
@@ -10,7 +10,7 @@
 from chestnuttide import workloads
 from chestnuttide.workloads.tests import _world
 
-HOW = ("done", "done", "done", "failed", "stopped", "lapsed")
+COMPLETIONS = ("done", "done", "done", "failed", "stopped", "lapsed")
 
 STEPS = strategies.lists(
     strategies.builds(
@@ -47,7 +47,7 @@
         runs = list(worker.runs.values())
         steps = [workloads.step_of(run.unit, run.job) for run in runs]
         assert worker.fillers == sum(step.filler for step in steps)
-        assert worker.wanted_cpu_millis == sum(
+        assert worker.requested_cpu_millis == sum(
             step.need.cpu_millis for step in steps
         )
         assert worker.used.cpu_millis == sum(
@@ -59,7 +59,7 @@
         assert worker.step_runs == per_step
 
 
-def _check_promises(pool: workloads.Pool) -> None:
+def _check_invariants(pool: workloads.Pool) -> None:
     for worker in pool.workers.values():
         assert model.fits(worker.used, worker.report.capacity)
     for job in pool.jobs.values():
@@ -73,13 +73,13 @@
                     job.steps[(unit.key[0], earlier)].done
                     == job.steps[(unit.key[0], earlier)].total
                     for earlier in step.after
-                ), "a step began before its predecessors were done"
+                ), "a step started before its predecessors were done"
         if job.cancelled:
             assert all(
                 run.stopping
                 for unit in job.units.values()
                 for run in unit.runs
-            ), "a run of a cancelled job goes on"
+            ), "a run of a cancelled job is not being stopped"
 
 
 @hypothesis.given(
@@ -87,10 +87,10 @@
     strategies.integers(0, 2**32),
 )
 @hypothesis.settings(max_examples=150, deadline=None)
-def test_counts_and_promises_hold_after_each_event(
+def test_counts_and_invariants_hold_after_each_event(
     jobs: list[list[dict[str, object]]], seed: int
 ) -> None:
-    """Guards against capacity, order, attempts and counts that drift."""
+    """Guards against violated capacity, dependencies, attempts and counts."""
     rng = random.Random(seed)
     pool = _world.make_pool(3)
     for number, steps in enumerate(jobs):
@@ -117,10 +117,10 @@
             ]
             if runs:
                 run = rng.choice(runs)
-                how = "stopped" if run.stopping else rng.choice(HOW)
+                how = "stopped" if run.stopping else rng.choice(COMPLETIONS)
                 _world.end_of(pool, run, how)
         elif rng.random() < 0.3:
             job = rng.choice(list(pool.jobs.values()))
             workloads.cancel_job(pool, job, _world.UNIX_S)
         _check_counts(pool)
-        _check_promises(pool)
+        _check_invariants(pool)
--- a/chestnuttide/workloads/tests/test_supervision.py
+++ b/chestnuttide/workloads/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""Stalls, draining workers and interference."""
+"""Stalled runs, draining workers and interference by fillers."""
 
 import attrs
 import pytest
@@ -12,14 +12,14 @@
     [
         pytest.param(1.0, 50, 2.5, False, id="recent-progress"),
         pytest.param(1.0, 50, 3.5, True, id="no-progress"),
-        pytest.param(1.0, 50, 2.0, False, id="list-is-old"),
-        pytest.param(10.0, 10, 13.0, False, id="slow-but-moving"),
+        pytest.param(1.0, 50, 2.0, False, id="poll-reply-is-old"),
+        pytest.param(10.0, 10, 13.0, False, id="slow-progress"),
     ],
 )
 def test_stalled_runs(
     progress_at: float, percent: float, seen_at: float, stalled: bool
 ) -> None:
-    """Guards against hung tasks, and against stops of slow ones."""
+    """Guards against hung tasks that run on and slow ones that are stopped."""
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool, now=0.5)
@@ -32,10 +32,10 @@
 @pytest.mark.parametrize(
     ("step", "now", "moves"),
     [
-        pytest.param({"lasting": True}, 1.0, True, id="lasting-at-once"),
-        pytest.param({"checkpointable": True}, 1.0, False, id="has-time"),
-        pytest.param({"checkpointable": True}, 9.0, True, id="last-call"),
-        pytest.param({}, 9.0, False, id="nothing-to-save"),
+        pytest.param({"lasting": True}, 1.0, True, id="long-running"),
+        pytest.param({"checkpointable": True}, 1.0, False, id="time-left"),
+        pytest.param({"checkpointable": True}, 9.0, True, id="about-to-leave"),
+        pytest.param({}, 9.0, False, id="not-checkpointable"),
     ],
 )
 def test_runs_on_a_draining_worker(
@@ -57,15 +57,15 @@
 
 
 @pytest.mark.parametrize(
-    ("tail_ms", "paced"),
+    ("tail_ms", "speed_percent"),
     [
         pytest.param(50, 100, id="well-below-target"),
         pytest.param(90, 50, id="close-to-target"),
         pytest.param(120, 0, id="over-target"),
     ],
 )
-def test_fillers_are_paced_by_their_neighbours(
-    tail_ms: float, paced: int
+def test_fillers_are_throttled_by_the_latency_of_serving_tasks(
+    tail_ms: float, speed_percent: int
 ) -> None:
     """Guards against fillers that keep a serving task over its target."""
     pool = _world.make_pool(1)
@@ -78,4 +78,4 @@
     serving, filler = _world.start_all(pool)
     serving.percent, serving.measure = 100, tail_ms
     workloads.pace_fillers(pool.workers["w0@1"])
-    assert filler.pace_percent == paced
+    assert filler.pace_percent == speed_percent
