--- a/chestnuttide/errors/__init__.py
+++ b/chestnuttide/errors/__init__.py
@@ -1,22 +1,22 @@
 """Errors with stable codes, and the reasons for refusals and retries."""
 
-from chestnuttide.errors import _kinds
+from chestnuttide.errors import _exceptions
 
-DeposedError = _kinds.DeposedError
-HTTP_STATUS = _kinds.HTTP_STATUS
-LeaseExpiredError = _kinds.LeaseExpiredError
-MeshError = _kinds.MeshError
-PeerNotConnectedError = _kinds.PeerNotConnectedError
-PlatformError = _kinds.PlatformError
-ProtocolError = _kinds.ProtocolError
-Reason = _kinds.Reason
-RefusedError = _kinds.RefusedError
-RetryReason = _kinds.RetryReason
-RevisionConflictError = _kinds.RevisionConflictError
-RunState = _kinds.RunState
-SchedulerError = _kinds.SchedulerError
-SettingsError = _kinds.SettingsError
-StoreUnavailableError = _kinds.StoreUnavailableError
+DeposedError = _exceptions.DeposedError
+HTTP_STATUS = _exceptions.HTTP_STATUS
+LeaseExpiredError = _exceptions.LeaseExpiredError
+MeshError = _exceptions.MeshError
+PeerNotConnectedError = _exceptions.PeerNotConnectedError
+PlatformError = _exceptions.PlatformError
+ProtocolError = _exceptions.ProtocolError
+Reason = _exceptions.Reason
+RefusedError = _exceptions.RefusedError
+RetryReason = _exceptions.RetryReason
+RevisionConflictError = _exceptions.RevisionConflictError
+RunState = _exceptions.RunState
+SchedulerError = _exceptions.SchedulerError
+SettingsError = _exceptions.SettingsError
+StoreUnavailableError = _exceptions.StoreUnavailableError
 
 __all__ = [
     "DeposedError",
--- a/chestnuttide/errors/_kinds.py
+++ b/chestnuttide/errors/_exceptions.py
@@ -1,4 +1,4 @@
-"""The kinds of errors and the reasons for refusals and retries."""
+"""Exception classes, and the reasons for refusals and retries."""
 
 import enum
 import typing
@@ -8,7 +8,7 @@
     """Why a request, job or patch was refused.
 
     The value is the stable code that callers and operators see, and the label
-    of the refusal counter.
+    value of the refusal counter.
     """
 
     MALFORMED = "malformed"
@@ -39,7 +39,7 @@
 
 
 class RetryReason(enum.StrEnum):
-    """Why something was tried again; the label of the retry counter."""
+    """Why something was retried; the label value of the retry counter."""
 
     CONNECT_FAILED = "connect_failed"
     TARGET_ERROR = "target_error"
@@ -58,15 +58,15 @@
 
 
 class RunState(enum.StrEnum):
-    """What is known about whether refused work ran."""
+    """Whether refused work ran, as far as is known."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
     RAN = "ran"
 
 
-# HTTP status of each refusal. 409 tells callers that the id or the version
-# clashes, 503 that the same request may be sent again later.
+# HTTP status of each refusal. 409 means that the id or the version conflicts,
+# 503 that the same request may be sent again later.
 HTTP_STATUS: typing.Final[dict[Reason, int]] = {
     Reason.MALFORMED: 400,
     Reason.UNKNOWN_FIELD: 400,
@@ -97,19 +97,19 @@
 
 
 class SchedulerError(Exception):
-    """Base of all errors of this package.
+    """Base class of all errors of the scheduler.
 
     Parameters
     ----------
     message : str
-        What is wrong, in one sentence.
+        What went wrong, in one sentence.
     remedy : str
-        What the reader can do about it, in one sentence.
+        How to resolve it, in one sentence.
 
     Attributes
     ----------
     code : str
-        Stable code of the kind of error.
+        Stable code of the error class.
     """
 
     code: typing.ClassVar[str] = "internal"
@@ -121,18 +121,18 @@
 
 
 class RefusedError(SchedulerError):
-    """Work or a patch was refused.
+    """A request, job or patch was refused.
 
     Parameters
     ----------
     reason : Reason
-        The code of the refusal.
+        Reason for the refusal.
     message, remedy : str
         See `SchedulerError`.
     run_state : RunState
         Whether the refused work ran.
     details : dict of str to object, optional
-        Further fields for the answer, for example the colliding keys.
+        Additional fields for the response, for example the conflicting keys.
     """
 
     code = "refused"
@@ -153,7 +153,7 @@
 
 
 class SettingsError(SchedulerError):
-    """A settings file cannot be used."""
+    """The settings are invalid or cannot be applied."""
 
     code = "settings_invalid"
 
@@ -165,7 +165,7 @@
 
 
 class RevisionConflictError(SchedulerError):
-    """A compare-and-swap found another revision than the expected one."""
+    """A compare-and-swap found a revision other than the expected one."""
 
     code = "revision_conflict"
 
--- a/chestnuttide/model/__init__.py
+++ b/chestnuttide/model/__init__.py
@@ -1,4 +1,4 @@
-"""Values that every part of the system shares."""
+"""Value types shared by all packages of the scheduler."""
 
 from chestnuttide.model import _instances
 from chestnuttide.model import _jobs
--- a/chestnuttide/model/_instances.py
+++ b/chestnuttide/model/_instances.py
@@ -1,4 +1,4 @@
-"""Instances, as the platform lists them."""
+"""Instances, as listed by the platform."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class InstanceKind(enum.StrEnum):
-    """What an instance is there for."""
+    """Role of an instance."""
 
     ENTRY = "entry"
     WORKER = "worker"
@@ -16,7 +16,7 @@
 
 
 class InstanceState(enum.StrEnum):
-    """State of an instance in the platform's list."""
+    """State of an instance in the platform's instance list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,31 +25,31 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Instance:
-    """One instance of the platform's list.
+    """An entry of the platform's instance list.
 
     Attributes
     ----------
     instance_id : str
         Stable name, unique in the cell.
     kind : InstanceKind
-        Entry instance, worker or target.
+        Role: entry instance, worker or target.
     state : InstanceState
-        Whether it takes work, is leaving, or is gone for good.
+        Whether it accepts work, is leaving, or is gone permanently.
     data_centre : str
-        Data centre that houses it.
+        Data centre in which it runs.
     rack : str
-        Rack that houses it; empty when unknown.
+        Rack in which it runs; empty if unknown.
     address : str
-        ``ip:port``: the scheduler's mesh address for an entry instance, the
-        HTTP address of the agent or of the runner otherwise.
+        Address as ``ip:port``: the scheduler's mesh address for an entry
+        instance, otherwise the HTTP address of the agent or the runner.
     service : str
         Service of a target; empty for other kinds.
     slots : int
-        Requests that a target runs at once; 0 for other kinds.
+        Requests that a target runs concurrently; 0 for other kinds.
     connections : int
         Connections that a target accepts; 0 for other kinds.
     capacity : Resources
-        What a worker offers; zero for other kinds.
+        Total resources of a worker; zero for other kinds.
     """
 
     instance_id: str
--- a/chestnuttide/model/_jobs.py
+++ b/chestnuttide/model/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs, their tasks and the attempts to run them."""
+"""Jobs, their tasks and attempts to run them."""
 
 import enum
 import typing
@@ -8,19 +8,19 @@
 from chestnuttide.model import _resources
 
 
-# Seconds after which a worker refuses a start that was held up on its way, for
-# example in the buffer of an agent that was paused. Without this limit such a
-# start could take effect after its task was started elsewhere.
+# Age at which a worker rejects a delayed start command, for example one that
+# was buffered by a paused agent. Without this limit, such a start could take
+# effect after the task was started elsewhere.
 START_VALID_S: typing.Final = 2.0
-# Largest difference between the wall clocks of a worker and an instance.
+# Maximum difference between the wall clocks of a worker and an instance.
 CLOCK_SKEW_S: typing.Final = 1.0
 
 
 class JobKind(enum.StrEnum):
-    """How the tasks of a job are placed.
+    """How the tasks of a job are scheduled.
 
-    A service keeps its tasks up, batch work ends, and a gang starts all of its
-    tasks at once or none.
+    A service keeps its tasks running, the tasks of a batch job run to
+    completion, and a gang starts either all of its tasks at once or none.
     """
 
     SERVICE = "service"
@@ -39,7 +39,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """State of one attempt, as its worker reports it."""
+    """State of an attempt, as reported by its worker."""
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
@@ -55,26 +55,26 @@
     Attributes
     ----------
     job_id : str
-        The caller's id, unique in the cell.
+        Id that the caller chose, unique in the cell.
     kind : JobKind
-        Service, batch work or gang.
+        Service, batch job or gang.
     team : str
-        Team that is charged for it.
+        Team that it is charged to.
     workload_class : str
-        Class whose run times are learned together.
+        Class of work; run times are learned per class.
     tasks : int
         Number of tasks, indexed from 0.
     resources : Resources
-        What each task needs, as declared.
+        Declared need of each task.
     urgent : bool
-        Whether it goes before work that is not urgent.
+        Whether it takes precedence over work that is not urgent.
     declared_run_s : float
-        Declared run time of a task in seconds; 0 when not declared.
+        Declared run time of a task, in seconds; 0 if not declared.
     wait_limit_s : float
         Seconds after which a job that has not started is refused; 0 for no
         limit.
     payload : bytes
-        JSON for the worker agent; says what each task runs.
+        JSON for the worker agent that describes what each task runs.
     """
 
     job_id: str
@@ -91,12 +91,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Attempt:
-    """One attempt to run one task; at most one per task is ever live.
+    """An attempt to run a task; at most one per task is live at any time.
 
     Attributes
     ----------
     job_id : str
-        Job of the task.
+        Id of the job that the task belongs to.
     index : int
         Index of the task in its job.
     number : int
@@ -110,20 +110,20 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class AttemptReport:
-    """What a worker says about one attempt.
+    """A worker's report on an attempt.
 
     Attributes
     ----------
     attempt : Attempt
-        The attempt in question.
+        The reported attempt.
     state : TaskState
-        Its state on the worker.
+        State of the attempt on the worker.
     resources : Resources
-        What the worker reserved for it.
+        Resources that the worker has reserved for it.
     run_s : float
-        Seconds since its start, or its run time once ended.
+        Seconds since its start, or its run time once it has ended.
     usage : Resources
-        Last reported usage; lags behind the truth.
+        Last reported usage; lags behind the actual usage.
     """
 
     attempt: Attempt
--- a/chestnuttide/model/_requests.py
+++ b/chestnuttide/model/_requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers and the answers to them."""
+"""Requests of callers and the responses to them."""
 
 import attrs
 
@@ -12,17 +12,17 @@
     Attributes
     ----------
     request_id : str
-        The caller's id; the key of at-most-once execution.
+        Id that the caller chose; the key for at-most-once execution.
     service : str
-        Service that answers it.
+        Service that handles it.
     team : str
-        Team that is charged for it.
+        Team that it is charged to.
     urgent : bool
-        Whether it goes before work that is not urgent.
+        Whether it takes precedence over work that is not urgent.
     idempotent : bool
         Whether it may run more than once.
     deadline : float
-        Monotonic time, in seconds, after which no answer is of use.
+        Monotonic time in seconds after which a response is useless.
     payload : bytes
         JSON body for the target.
     """
@@ -38,24 +38,24 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Answer:
-    """A target's whole answer, or a refusal.
+    """A target's complete response, or a refusal.
 
     Attributes
     ----------
     request_id : str
-        Id of the request that is answered.
+        Id of the request that it answers.
     status : int
         HTTP status for the caller.
     content_type : str
         Media type of `body`.
     body : bytes
-        Body of the target's answer, or the encoded refusal.
+        Body of the target's response, or the encoded refusal.
     reason : Reason or None
-        Reason of a refusal; None for a target's answer.
+        Reason for a refusal; None for a target's response.
     run_state : RunState
-        What is known about whether the request ran.
+        Whether the request ran, as far as is known.
     target : str
-        Instance id of the target that answered; empty for a refusal.
+        Instance id of the target that responded; empty for a refusal.
     """
 
     request_id: str
--- a/chestnuttide/model/_resources.py
+++ b/chestnuttide/model/_resources.py
@@ -5,7 +5,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Resources:
-    """An amount of each dimension that a worker offers or a task needs.
+    """Amounts that a worker offers or a task needs, one per dimension.
 
     Attributes
     ----------
@@ -14,7 +14,7 @@
     memory_mb : int
         Memory, in megabytes.
     accelerators : int
-        Whole accelerators.
+        Number of whole accelerators.
     """
 
     cpu_millis: int = 0
@@ -44,7 +44,7 @@
 
 
 def fits(need: Resources, free: Resources) -> bool:
-    """Return whether `need` is within `free` in every dimension."""
+    """Return whether `need` is at most `free` in every dimension."""
     return (
         need.cpu_millis <= free.cpu_millis
         and need.memory_mb <= free.memory_mb
--- a/chestnuttide/pipes/__init__.py
+++ b/chestnuttide/pipes/__init__.py
@@ -1,4 +1,4 @@
-"""Filters over typed messages, and pipes that join them."""
+"""Filters over typed messages, and their composition into pipelines."""
 
 from chestnuttide.pipes import _pipes
 
--- a/chestnuttide/pipes/_pipes.py
+++ b/chestnuttide/pipes/_pipes.py
@@ -1,8 +1,8 @@
 """Filters over typed messages.
 
-A filter takes one message and the time and returns the messages that follow
-from it. Every decision of the scheduler is a filter, so a recorded sequence of
-messages and times always gives the same result.
+A filter takes a message and the current time, and returns the messages that
+result. All decisions of the scheduler are made in filters, so replaying a
+recorded sequence of messages and times always gives the same result.
 """
 
 import collections.abc
@@ -14,27 +14,27 @@
 
 
 def pipe(*filters: Filter) -> Filter:
-    """Join filters so that each takes the messages of the one before.
+    """Compose filters so that each processes the output of the previous one.
 
     Parameters
     ----------
     *filters : Filter
-        The filters, first to last.
+        Filters in the sequence in which they are applied.
 
     Returns
     -------
     Filter
-        A filter that passes a message through all of them. A filter that
-        returns no message ends the pipe for that message.
+        A filter that passes a message through all filters. A message for
+        which a filter returns nothing is not passed on.
     """
 
-    def run(message: object, now: float) -> list[object]:
+    def apply(message: object, now: float) -> list[object]:
         messages: list[object] = [message]
-        for step in filters:
-            following: list[object] = []
-            for current in messages:
-                following.extend(step(current, now))
-            messages = following
+        for current_filter in filters:
+            results: list[object] = []
+            for item in messages:
+                results.extend(current_filter(item, now))
+            messages = results
         return messages
 
-    return run
+    return apply
--- a/chestnuttide/pipes/tests/test_pipes.py
+++ b/chestnuttide/pipes/tests/test_pipes.py
@@ -18,10 +18,13 @@
 @pytest.mark.parametrize(
     ("filters", "expected"),
     [
-        pytest.param((), [1], id="empty_pipe_loses_message"),
-        pytest.param((_double, _add_time), [3, 3], id="order_of_filters"),
-        pytest.param((_drop, _double), [], id="dropped_message_continues"),
+        pytest.param((), [1], id="no-filters"),
+        pytest.param((_double, _add_time), [3, 3], id="sequence-of-filters"),
+        pytest.param((_drop, _double), [], id="dropped-message"),
     ],
 )
-def test_pipe(filters: tuple[pipes.Filter, ...], expected: list[int]) -> None:
+def test_composed_filters(
+    filters: tuple[pipes.Filter, ...], expected: list[int]
+) -> None:
+    """Guards against lost, misordered and wrongly passed-on messages."""
     assert pipes.pipe(*filters)(1, 2) == expected
