--- a/chestnuttide/workloads/_poll_replies.py
+++ b/chestnuttide/workloads/_poll_replies.py
@@ -8,8 +8,8 @@
 from chestnuttide.workloads import _specs
 from chestnuttide.workloads import _state
 
-# Lowest rate of a worker's clock, as a share of real time. A lease lasts
-# longer on a slow clock.
+# Lowest rate of a worker's clock, as a share of real time. The clock may run
+# 2% slow, and a lease on it then lasts longer.
 MIN_CLOCK_RATE = 0.98
 
 # Added to the computed expiry of a lease, to cover rounding.
--- a/chestnuttide/workloads/_supervision.py
+++ b/chestnuttide/workloads/_supervision.py
@@ -4,12 +4,12 @@
 from chestnuttide.workloads import _specs
 from chestnuttide.workloads import _state
 
-# A run counts as hung if it makes no progress for this many seconds and for
-# this multiple of its average time per percent.
+# A run counts as hung if it has made no progress for this many seconds, and
+# for this multiple of its average time per percent of progress.
 STALL_S = 2.0
 STALL_FACTOR = 6.0
 
-# Longest startup of a long-running task before it serves.
+# Longest time that a long-running task takes to start serving.
 STARTUP_S = 4.0
 
 # Stalled runs after which a worker is quarantined, and the duration of the
--- a/chestnuttide/workloads/tests/test_poll_replies.py
+++ b/chestnuttide/workloads/tests/test_poll_replies.py
@@ -7,7 +7,7 @@
 from chestnuttide.workloads.tests import _world
 
 
-def _uncertain(pool: workloads.Pool) -> workloads.Run:
+def _make_uncertain_run(pool: workloads.Pool) -> workloads.Run:
     _world.submit(pool, _world.make_step())
     (run,) = workloads.make_plan(pool, now=0.1).runs
     run.phase = workloads.Phase.UNCERTAIN
@@ -34,7 +34,7 @@
 ) -> None:
     """Guards against a second run while a late start may take effect."""
     pool = _world.make_pool(1)
-    run = _uncertain(pool)
+    run = _make_uncertain_run(pool)
     run.stop_acknowledged_at = stop_acknowledged_at
     rows = (_world.RunRow(task=run.task, run=1),) if listed else ()
     _world.apply_reply(
