--- a/chestnuttide/settings/__init__.py
+++ b/chestnuttide/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of one instance, which both of its daemons read."""
+"""Settings of one instance, shared by its entry and scheduler daemons."""
 
 from chestnuttide.settings import _fields
 from chestnuttide.settings import _load
--- a/chestnuttide/settings/_load.py
+++ b/chestnuttide/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reading and checking of settings files."""
+"""Loading and validation of settings files."""
 
 import json
 import pathlib
@@ -10,12 +10,12 @@
 from chestnuttide import errors
 from chestnuttide.settings import _fields
 
-# Characters of the file quoted in an error about its syntax.
-_QUOTE_CHARS: typing.Final = 30
+# Characters before a syntax error that the error message quotes.
+_ERROR_CONTEXT_CHARS: typing.Final = 30
 
 
 def load(path: str | pathlib.Path) -> _fields.Settings:
-    """Read a settings file.
+    """Load and validate a settings file.
 
     Parameters
     ----------
@@ -25,12 +25,12 @@
     Returns
     -------
     Settings
-        The checked settings.
+        The validated settings.
 
     Raises
     ------
     SettingsError
-        The file cannot be read, is no JSON, or a field cannot be used.
+        The file cannot be read, is not JSON, or has an invalid field.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -43,46 +43,48 @@
 
 
 def parse(text: str, name: str) -> _fields.Settings:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
     Parameters
     ----------
     text : str
         JSON with comments.
     name : str
-        Name of the file, for errors.
+        Name of the file, for error messages.
 
     Raises
     ------
     SettingsError
-        The text is no JSON, or a field cannot be used.
+        The text is not JSON, or has an invalid field.
     """
     settings = _structure(_decode(text, name), name)
-    _check_fields_together(settings, name)
+    _check_cross_field_rules(settings, name)
     return settings
 
 
 def _decode(text: str, name: str) -> object:
-    def refuse_duplicates(pairs: list[tuple[str, object]]) -> dict:
-        found = dict(pairs)
-        if len(found) < len(pairs):
-            names = [key for key, _ in pairs]
-            twice = next(key for key in names if names.count(key) > 1)
+    def reject_duplicate_keys(pairs: list[tuple[str, object]]) -> dict:
+        members = dict(pairs)
+        if len(members) < len(pairs):
+            keys = [key for key, _ in pairs]
+            duplicate = next(key for key in keys if keys.count(key) > 1)
             raise errors.SettingsError(
-                message=f"{name}: {twice} is given twice.",
-                remedy="Remove one of the two.",
+                message=f"{name}: {duplicate} is defined twice.",
+                remedy="Remove one of the two definitions.",
             )
-        return found
+        return members
 
     try:
-        return jsonc.loads(text, object_pairs_hook=refuse_duplicates)
+        return jsonc.loads(text, object_pairs_hook=reject_duplicate_keys)
     except json.JSONDecodeError as error:
-        # The position is that in the text without comments, so the error
-        # quotes the text instead of the line number.
-        before = error.doc[max(0, error.pos - _QUOTE_CHARS) : error.pos]
+        # The position refers to the text without comments, so a line number
+        # would be wrong; the message quotes the preceding text instead.
+        context = error.doc[
+            max(0, error.pos - _ERROR_CONTEXT_CHARS) : error.pos
+        ]
         raise errors.SettingsError(
-            message=f"{name}: not JSON after {before!r}: {error.msg}.",
-            remedy="Correct the syntax there.",
+            message=f"{name}: not JSON after {context!r}: {error.msg}.",
+            remedy="Correct the syntax at this place.",
         ) from error
 
 
@@ -104,19 +106,19 @@
         ) from error
 
 
-def _check_fields_together(settings: _fields.Settings, name: str) -> None:
-    """Check the limits that hold between fields."""
+def _check_cross_field_rules(settings: _fields.Settings, name: str) -> None:
+    """Check the rules that span several fields."""
     coordination = settings.coordination
-    limit_s = coordination.lease_ttl_s / 2
-    if coordination.lease_renew_s >= limit_s:
+    max_renew_s = coordination.lease_ttl_s / 2
+    if coordination.lease_renew_s >= max_renew_s:
         raise errors.SettingsError(
             message=(
                 f"{name}: coordination.lease_renew_s is out of range (value"
-                f" {coordination.lease_renew_s}), because one lost renewal"
-                " would end the lease."
+                f" {coordination.lease_renew_s}): the lease would expire after"
+                " one lost renewal."
             ),
             remedy=(
-                f"Set it below {limit_s}, half of coordination.lease_ttl_s"
+                f"Set it below {max_renew_s}, half of coordination.lease_ttl_s"
                 f" ({coordination.lease_ttl_s})."
             ),
         )
@@ -131,9 +133,9 @@
         if port in first_use:
             raise errors.SettingsError(
                 message=(
-                    f"{name}: {field} (value {port}) is also"
+                    f"{name}: {field} (value {port}) is the same port as"
                     f" {first_use[port]}."
                 ),
-                remedy="Give each of the four ports a different number.",
+                remedy="Set the four ports to different numbers.",
             )
         first_use[port] = field
--- a/chestnuttide/settings/_reference.py
+++ b/chestnuttide/settings/_reference.py
@@ -1,4 +1,4 @@
-"""The settings reference, rendered from the settings classes."""
+"""Renders the settings reference from the settings classes."""
 
 import inspect
 import json
@@ -16,7 +16,7 @@
     Returns
     -------
     str
-        One section with a table of fields for each object of the file.
+        A section with a table of fields for each object of the file.
     """
     lines = [
         "# Settings",
@@ -53,13 +53,13 @@
 
 
 def _parse_attributes(cls: type) -> dict[str, str]:
-    """Return the descriptions in the Attributes section of a docstring."""
+    """Return the field descriptions from the class docstring."""
     _, _, section = inspect.getdoc(cls).partition("Attributes\n----------\n")
-    found: dict[str, list[str]] = {}
+    descriptions: dict[str, list[str]] = {}
     for line in section.splitlines():
         header = re.match(r"(\w+) : ", line)
         if header:
-            words = found.setdefault(header[1], [])
+            lines = descriptions.setdefault(header[1], [])
         elif line.strip():
-            words.append(line.strip())
-    return {name: " ".join(words) for name, words in found.items()}
+            lines.append(line.strip())
+    return {name: " ".join(lines) for name, lines in descriptions.items()}
--- a/chestnuttide/settings/tests/test_settings.py
+++ b/chestnuttide/settings/tests/test_settings.py
@@ -7,7 +7,7 @@
 from chestnuttide import errors
 from chestnuttide import settings
 
-_EXAMPLES = pathlib.Path(__file__).parents[3] / "examples"
+_EXAMPLES_DIR = pathlib.Path(__file__).parents[3] / "examples"
 _MINIMAL = {
     "instance_id": "a-1",
     "data_centre": "dc-1",
@@ -19,12 +19,12 @@
 }
 
 
-def _with(path: str, value: object) -> dict:
+def _minimal_with(path: str, value: object) -> dict:
     document = json.loads(json.dumps(_MINIMAL))
     parent = document
-    *groups, name = path.split(".")
-    for group in groups:
-        parent = parent.setdefault(group, {})
+    *parents, name = path.split(".")
+    for key in parents:
+        parent = parent.setdefault(key, {})
     parent[name] = value
     return document
 
@@ -32,17 +32,17 @@
 @pytest.mark.parametrize(
     ("name", "data_centre"),
     [
-        pytest.param("karoo", "beaufort-west", id="karoo_does_not_load"),
-        pytest.param("bangkok", "bang-na", id="bangkok_does_not_load"),
+        pytest.param("karoo", "beaufort-west", id="karoo"),
+        pytest.param("bangkok", "bang-na", id="bangkok"),
     ],
 )
-def test_examples(name: str, data_centre: str) -> None:
-    loaded = settings.load(_EXAMPLES / f"{name}.jsonc")
+def test_load_accepts_example_file(name: str, data_centre: str) -> None:
+    loaded = settings.load(_EXAMPLES_DIR / f"{name}.jsonc")
     assert loaded.data_centre == data_centre
     assert loaded.coordination.lease_renew_s == 0.6
 
 
-def test_defaults_are_those_of_the_design() -> None:
+def test_defaults() -> None:
     loaded = settings.parse(json.dumps(_MINIMAL), "minimal")
     assert loaded.mesh.heartbeat_s == 1.0
     assert loaded.coordination == settings.CoordinationSettings(
@@ -62,61 +62,57 @@
             "entry.http_port",
             70_000,
             ["entry.http_port", "70000", ">= 1 and <= 65535"],
-            id="range_of_port_not_named",
+            id="port_out_of_range",
         ),
         pytest.param(
             "entry.http_port",
             "8080",
             ["entry.http_port", "'8080'", "a whole number >= 1"],
-            id="string_taken_as_number",
+            id="string_for_number",
         ),
         pytest.param(
             "entry.http_port",
             True,
             ["entry.http_port", "True", "a whole number"],
-            id="true_taken_as_1",
+            id="boolean_for_number",
         ),
         pytest.param(
             "mesh.heartbeat_s",
             float("nan"),
             ["mesh.heartbeat_s", "nan", ">= 0.05 and <= 10.0"],
-            id="nan_passes_range",
+            id="nan",
         ),
         pytest.param(
             "mesh.heartbeats",
             1,
             ["mesh.heartbeats", "Did you mean mesh.heartbeat_s?"],
-            id="nearest_key_not_named",
-        ),
-        pytest.param(
-            "zzz", 1, ["zzz", "Remove it"], id="unknown_key_accepted"
-        ),
-        pytest.param(
-            "mesh", [], ["mesh", "an object"], id="list_taken_as_object"
+            id="misspelt_key",
         ),
+        pytest.param("zzz", 1, ["zzz", "Remove it"], id="unknown_key"),
+        pytest.param("mesh", [], ["mesh", "an object"], id="list_for_object"),
         pytest.param(
             "platform",
             {"store_address": "127.0.0.1:1"},
             ["platform.instance_list_address", "is missing", "ip:port"],
-            id="missing_field_not_named",
+            id="missing_field",
         ),
         pytest.param(
             "platform.store_address",
             "store.example:2379",
             ["platform.store_address", "ip:port"],
-            id="host_name_taken_as_ip",
+            id="host_name_for_ip",
         ),
         pytest.param(
             "advertise_ip",
             "127.0.0.1:80",
             ["advertise_ip", "IP address"],
-            id="port_in_advertised_ip",
+            id="port_in_ip",
         ),
         pytest.param(
             "instance_id",
             "a/b",
             ["instance_id", "'a/b'"],
-            id="slash_splits_store_key",
+            id="slash_in_instance_id",
         ),
         pytest.param(
             "logging.log_level",
@@ -128,7 +124,7 @@
             "coordination.lease_renew_s",
             1.0,
             ["coordination.lease_renew_s", "1.0", "coordination.lease_ttl_s"],
-            id="one_lost_renewal_ends_lease",
+            id="lease_expires_after_one_lost_renewal",
         ),
         pytest.param(
             "scheduler.mesh_port",
@@ -138,30 +134,30 @@
         ),
     ],
 )
-def test_error_names_field_value_range_and_remedy(
+def test_error_reports_field_value_range_and_remedy(
     path: str, value: object, expected: list[str]
 ) -> None:
-    text = json.dumps(_with(path, value))
-    with pytest.raises(errors.SettingsError) as caught:
+    text = json.dumps(_minimal_with(path, value))
+    with pytest.raises(errors.SettingsError) as error_info:
         settings.parse(text, "some.jsonc")
     for part in ["some.jsonc", *expected]:
-        assert part in str(caught.value)
+        assert part in str(error_info.value)
 
 
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
-        pytest.param('{"a": @}', "not JSON after", id="syntax_error_unclear"),
-        pytest.param('{"a": 1, "a": 2}', "twice", id="last_duplicate_wins"),
-        pytest.param("[]", "an object", id="list_as_file"),
+        pytest.param('{"a": @}', "not JSON after", id="syntax_error"),
+        pytest.param('{"a": 1, "a": 2}', "twice", id="duplicate_key"),
+        pytest.param("[]", "an object", id="top_level_list"),
     ],
 )
-def test_unusable_text(text: str, expected: str) -> None:
+def test_parse_rejects_malformed_text(text: str, expected: str) -> None:
     with pytest.raises(errors.SettingsError, match=expected):
         settings.parse(text, "some.jsonc")
 
 
-def test_missing_file_is_named() -> None:
+def test_load_error_names_missing_file() -> None:
     with pytest.raises(errors.SettingsError, match="absent.jsonc"):
         settings.load("/nonexistent/absent.jsonc")
 
