--- a/chestnuttide/telemetry/__init__.py
+++ b/chestnuttide/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs in JSON lines and metrics for Prometheus."""
+"""JSON logging and Prometheus metrics."""
 
 from chestnuttide.telemetry import _logs
 from chestnuttide.telemetry import _metrics
--- a/chestnuttide/telemetry/_logs.py
+++ b/chestnuttide/telemetry/_logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard error."""
+"""Logging as JSON lines."""
 
 import collections.abc
 import logging
@@ -11,13 +11,14 @@
 
 _LOGGER_ROOT: typing.Final = "chestnuttide"
 
-# Arguments of the standard logging calls; all others are fields.
+# Keyword arguments of the standard logging methods; all others become fields.
 _CALL_ARGUMENTS: typing.Final = frozenset(
     ("exc_info", "stack_info", "stacklevel", "extra")
 )
 
-# Names that logging refuses as fields, and those of the fixed fields.
-_TAKEN_NAMES: typing.Final = frozenset(core.RESERVED_ATTRS) | {
+# Attributes of log records, which logging rejects as extra fields, and the
+# names of the fields that every line has.
+_RESERVED_NAMES: typing.Final = frozenset(core.RESERVED_ATTRS) | {
     "message",
     "level",
     "logger",
@@ -26,56 +27,56 @@
     "daemon",
 }
 
-# At level info these libraries log each connection or request.
-_CHATTY_LIBRARIES: typing.Final = ("tornado.access", "websockets")
+# These libraries log each connection or request at level info.
+_VERBOSE_LIBRARIES: typing.Final = ("tornado.access", "websockets")
 
 
-class _PartLogger(logging.LoggerAdapter):
-    """A logger that sets the prefix of its part and takes fields.
+class _ComponentLogger(logging.LoggerAdapter):
+    """A logger that adds a component prefix and accepts extra fields.
 
     Parameters
     ----------
-    part : str
-        Name of the part, for example ``mesh``.
+    component : str
+        Name of the component, for example ``mesh``.
     """
 
-    def __init__(self, part: str) -> None:
-        super().__init__(logging.getLogger(f"{_LOGGER_ROOT}.{part}"))
-        self._prefix = f"{part}: "
+    def __init__(self, component: str) -> None:
+        super().__init__(logging.getLogger(f"{_LOGGER_ROOT}.{component}"))
+        self._prefix = f"{component}: "
 
     def process(
         self,
         msg: object,
         kwargs: collections.abc.MutableMapping[str, typing.Any],
     ) -> tuple[str, dict[str, typing.Any]]:
-        """Add the prefix, and make fields of all further arguments."""
-        call = {
+        """Add the prefix and turn non-standard arguments into fields."""
+        arguments = {
             name: value
             for name, value in kwargs.items()
             if name in _CALL_ARGUMENTS
         }
-        fields = dict(call.get("extra") or {})
+        fields = dict(arguments.get("extra") or {})
         fields.update(
             (name, value)
             for name, value in kwargs.items()
             if name not in _CALL_ARGUMENTS
         )
-        call["extra"] = {
-            f"{name}_" if name in _TAKEN_NAMES else name: value
+        arguments["extra"] = {
+            f"{name}_" if name in _RESERVED_NAMES else name: value
             for name, value in fields.items()
         }
-        return f"{self._prefix}{msg}", call
+        return f"{self._prefix}{msg}", arguments
 
 
-class _DroppingHandler(logging.StreamHandler):
-    """A handler that drops a line rather than wait for its stream.
+class _RateLimitedHandler(logging.StreamHandler):
+    """A rate-limited handler that drops lines instead of blocking.
 
     Parameters
     ----------
     stream : text stream
-        Where the lines go.
+        Destination of the lines; it is made non-blocking.
     lines_per_s : int
-        Most lines a second.
+        Maximum number of lines written per second.
     on_drop : function
         Called for each dropped line.
     """
@@ -89,23 +90,23 @@
         super().__init__(stream)
         self._lines_per_s = lines_per_s
         self._on_drop = on_drop
-        self._second = 0
-        self._lines = 0
+        self._current_second = 0
+        self._line_count = 0
         os.set_blocking(stream.fileno(), False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line unless the second's lines are used up."""
+        """Write a line unless the limit for the current second is reached."""
         second = int(record.created)
-        if second != self._second:
-            self._second, self._lines = second, 0
-        self._lines += 1
-        if self._lines > self._lines_per_s:
+        if second != self._current_second:
+            self._current_second, self._line_count = second, 0
+        self._line_count += 1
+        if self._line_count > self._lines_per_s:
             self._on_drop()
             return
         super().emit(record)
 
     def handleError(self, record: logging.LogRecord) -> None:  # noqa: N802
-        """Count a line that the stream did not take."""
+        """Report a line that could not be written as dropped."""
         self._on_drop()
 
 
@@ -117,19 +118,19 @@
     lines_per_s: int,
     on_drop: collections.abc.Callable[[], None],
 ) -> None:
-    """Send logs to standard output, bounded and without ever blocking.
+    """Send logs to standard output, rate-limited and without blocking.
 
     Parameters
     ----------
     level, instance_id, daemon : str
         See `configure_logging`.
     lines_per_s : int
-        Most lines a second; further ones are dropped.
+        Maximum number of lines written per second; further lines are dropped.
     on_drop : function
         Called for each dropped line, to count it.
     """
-    handler = _DroppingHandler(sys.stdout, lines_per_s, on_drop)
-    _install(handler, level, instance_id, daemon)
+    handler = _RateLimitedHandler(sys.stdout, lines_per_s, on_drop)
+    _install_handler(handler, level, instance_id, daemon)
 
 
 def configure_logging(
@@ -138,25 +139,25 @@
     daemon: str,
     stream: typing.TextIO | None = None,
 ) -> None:
-    """Send all logs of the process as JSON lines to one stream.
+    """Send all logs of the process to one stream as JSON lines.
 
     Parameters
     ----------
     level : str
-        Least severity that is logged: ``debug``, ``info``, ``warning`` or
-        ``error``.
+        Minimum severity of logged messages: ``debug``, ``info``, ``warning``
+        or ``error``.
     instance_id : str
-        Instance, a field of each line.
+        Id of the instance, a field of each line.
     daemon : str
         ``entry`` or ``scheduler``, a field of each line.
     stream : text stream, optional
-        Where the lines go; standard error by default.
+        Destination of the lines; standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
-    _install(handler, level, instance_id, daemon)
+    _install_handler(handler, level, instance_id, daemon)
 
 
-def _install(
+def _install_handler(
     handler: logging.Handler, level: str, instance_id: str, daemon: str
 ) -> None:
     handler.setFormatter(
@@ -170,23 +171,23 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    for name in _CHATTY_LIBRARIES:
+    for name in _VERBOSE_LIBRARIES:
         logging.getLogger(name).setLevel(logging.WARNING)
 
 
-def make_logger(part: str) -> logging.LoggerAdapter:
-    """Return the logger of a part.
+def make_logger(component: str) -> logging.LoggerAdapter:
+    """Return the logger of a component.
 
     Parameters
     ----------
-    part : str
-        Name of the part; each message begins with it and a colon.
+    component : str
+        Name of the component; it prefixes each message, followed by a colon.
 
     Returns
     -------
     LoggerAdapter
         ``log.info("shard %s taken over", shard, epoch=3)`` logs the message
-        ``<part>: shard ... taken over`` with the field ``epoch``. A field
-        whose name logging itself uses gets an underscore at its end.
+        ``<component>: shard ... taken over`` with the field ``epoch``. A
+        field with a reserved name gets a trailing underscore.
     """
-    return _PartLogger(part)
+    return _ComponentLogger(component)
--- a/chestnuttide/telemetry/_metrics.py
+++ b/chestnuttide/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a daemon, by aioprometheus."""
+"""Prometheus metrics of a daemon."""
 
 import typing
 
@@ -8,7 +8,8 @@
 
 from chestnuttide import errors
 
-# A decision takes below 1 ms (p99 goal), so the buckets start at 50 us.
+# The p99 target for a placement decision is 1 ms, so the buckets start at
+# 50 us.
 PLACEMENT_BUCKETS_S: typing.Final = (
     0.00005,
     0.0001,
@@ -20,7 +21,7 @@
     0.1,
 )
 
-# Requests wait in queues and run up to the services' request limits.
+# Waiting and request times range up to the request limits of the services.
 REQUEST_BUCKETS_S: typing.Final = (
     0.001,
     0.0025,
@@ -60,31 +61,32 @@
     Attributes
     ----------
     registry : Registry
-        Holds all of them, for `render`.
+        Registry of all metrics, for `render`.
     refusals : Counter
         ``chestnuttide_refusals_total{reason}``.
     retries : Counter
         ``chestnuttide_retries_total{reason}``.
     queue_length : Gauge
-        ``chestnuttide_queue_length{queue}``, entries that wait.
+        ``chestnuttide_queue_length{queue}``, number of waiting entries.
     shards_owned : Gauge
         ``chestnuttide_shards_owned``.
     config_version : Gauge
         ``chestnuttide_config_version``.
     placement_seconds : Histogram
-        ``chestnuttide_placement_seconds``, time of one decision.
+        ``chestnuttide_placement_seconds``, duration of one placement
+        decision.
     wait_seconds : Histogram
-        ``chestnuttide_wait_seconds{work,urgent}``, from arrival to the first
-        dispatch or start, with work ``request`` or ``task``.
+        ``chestnuttide_wait_seconds{work,urgent}``, time from arrival to the
+        first dispatch or start; ``work`` is ``request`` or ``task``.
     request_seconds : Histogram
-        ``chestnuttide_request_seconds``, from a request's arrival to its
-        answer.
+        ``chestnuttide_request_seconds``, time from a request's arrival to
+        its response.
     mesh_bytes : Counter
-        ``chestnuttide_mesh_bytes_total{direction}``, with direction ``sent``
-        or ``received``.
+        ``chestnuttide_mesh_bytes_total{direction}``; ``direction`` is
+        ``sent`` or ``received``.
     mesh_dropped : Counter
-        ``chestnuttide_mesh_dropped_total{reason}``, messages dropped as
-        ``unmatched`` or ``duplicate``.
+        ``chestnuttide_mesh_dropped_total{reason}``, dropped messages;
+        ``reason`` is ``unmatched`` or ``duplicate``.
     store_calls : Counter
         ``chestnuttide_store_calls_total{kind}``.
     """
@@ -104,22 +106,22 @@
 
 
 def make_metrics() -> Metrics:
-    """Return the metrics of a daemon in a registry of their own.
+    """Return the metrics of a daemon in a new registry.
 
-    Each known label value has its series at 0 from the start, so that a rate
-    over the first event is right.
+    The series of all known label values start at 0, so that rates include
+    the first event.
     """
     registry = collectors.Registry()
 
     def counter(
         name: str, doc: str, label: str, values: typing.Iterable[str]
     ) -> aioprometheus.Counter:
-        made = aioprometheus.Counter(
+        new_counter = aioprometheus.Counter(
             f"chestnuttide_{name}_total", doc, registry=registry
         )
         for value in values:
-            made.set({label: str(value)}, 0)
-        return made
+            new_counter.set({label: str(value)}, 0)
+        return new_counter
 
     def gauge(name: str, doc: str) -> aioprometheus.Gauge:
         return aioprometheus.Gauge(
@@ -197,14 +199,14 @@
 
 
 def count_retry(metrics: Metrics, reason: errors.RetryReason) -> None:
-    """Count one attempt made again."""
+    """Count one retry."""
     metrics.retries.inc({"reason": reason.value})
 
 
 def observe_wait(
     metrics: Metrics, work: str, seconds: float, *, urgent: bool
 ) -> None:
-    """Note how long a ``request`` or a ``task`` waited."""
+    """Record the waiting time of a ``request`` or a ``task``."""
     labels = {"work": work, "urgent": "true" if urgent else "false"}
     metrics.wait_seconds.observe(labels, seconds)
 
@@ -215,17 +217,17 @@
 
 
 def render(registry: collectors.Registry) -> tuple[bytes, str]:
-    """Return the metrics in Prometheus's text format.
+    """Return the metrics in the Prometheus text format.
 
     Parameters
     ----------
     registry : Registry
-        `Metrics.registry`.
+        Registry of the metrics, `Metrics.registry`.
 
     Returns
     -------
     tuple of bytes and str
-        The body and its content type.
+        The response body and its content type.
     """
     content, headers = aioprometheus.render(registry, [])
     return content, headers["Content-Type"]
--- a/chestnuttide/telemetry/tests/test_telemetry.py
+++ b/chestnuttide/telemetry/tests/test_telemetry.py
@@ -27,29 +27,29 @@
             ("lease %d renewed", 7),
             {"epoch": 3},
             {"message": "store: lease 7 renewed", "epoch": 3},
-            id="prefix_or_field_lost",
+            id="prefix_and_field",
         ),
         pytest.param(
             ("read",),
             {"extra": {"key": "voters"}},
             {"message": "store: read", "key": "voters"},
-            id="standard_extra_lost",
+            id="standard_extra",
         ),
         pytest.param(
             ("read",),
             {"name": "x", "instance_id": "other"},
             {"name_": "x", "instance_id_": "other", "instance_id": "a-1"},
-            id="reserved_field_raises_or_replaces",
+            id="reserved_field_names",
         ),
         pytest.param(
             ("100% full",),
             {},
             {"message": "store: 100% full", "level": "WARNING"},
-            id="percent_without_arguments_raises",
+            id="percent_sign_without_arguments",
         ),
     ],
 )
-def test_line(
+def test_logged_line(
     stream: io.StringIO, arguments: tuple, fields: dict, expected: dict
 ) -> None:
     telemetry.make_logger("store").warning(*arguments, **fields)
@@ -60,7 +60,7 @@
     assert "timestamp" in line
 
 
-def test_level_is_applied(stream: io.StringIO) -> None:
+def test_messages_below_the_level_are_not_logged(stream: io.StringIO) -> None:
     telemetry.make_logger("mesh").debug("frame")
     logging.getLogger("websockets.server").info("connection open")
     assert stream.getvalue() == ""
@@ -72,16 +72,16 @@
         pytest.param(
             "chestnuttide_refusals_total",
             errors.Reason,
-            id="refusal_reason_without_series",
+            id="refusals",
         ),
         pytest.param(
             "chestnuttide_retries_total",
             errors.RetryReason,
-            id="retry_reason_without_series",
+            id="retries",
         ),
     ],
 )
-def test_each_reason_has_a_series_from_the_start(
+def test_every_reason_has_an_initial_series(
     metric: str, reasons: type[errors.Reason]
 ) -> None:
     content, content_type = telemetry.render(telemetry.make_metrics().registry)
@@ -91,7 +91,7 @@
         assert f'{metric}{{reason="{reason.value}"}} 0' in lines
 
 
-def test_counts_do_not_mix_between_reasons_or_registries() -> None:
+def test_counts_are_separate_per_reason_and_registry() -> None:
     metrics = telemetry.make_metrics()
     telemetry.make_metrics()
     telemetry.count_refusal(metrics, errors.Reason.QUEUE_FULL)
