--- a/chestnuttide/cli/__main__.py
+++ b/chestnuttide/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the operator command line as a module."""
+"""Entry point of ``python -m chestnuttide.cli``."""
 
 import sys
 
--- a/chestnuttide/cli/_api.py
+++ b/chestnuttide/cli/_api.py
@@ -1,6 +1,6 @@
-"""Paths and field names of the interface for callers and operators.
+"""Paths and field names of the HTTP API for callers and operators.
 
-The commands take every name of a call or an answer from here.
+The commands take all names in requests and responses from this module.
 """
 
 import typing
@@ -12,7 +12,8 @@
 JOBS_PATH: typing.Final = "/v1/jobs"
 STATUS_PATH: typing.Final = "/v1/status"
 
-# Refusals: {"error": {"code", "message", "remedy", "run_state", "details"}}.
+# Refusals, as HTTP error responses:
+# {"error": {"code", "message", "remedy", "run_state", "details"}}.
 ERROR: typing.Final = "error"
 CODE: typing.Final = "code"
 MESSAGE: typing.Final = "message"
@@ -28,7 +29,7 @@
 PATCH: typing.Final = "patch"
 AUTHOR: typing.Final = "author"
 
-# Jobs: {"jobs": [...]}; each is an object with at least id and state.
+# Jobs: {"jobs": [...]}; each job is an object with at least id and state.
 JOBS: typing.Final = "jobs"
 ID: typing.Final = "id"
 STATE: typing.Final = "state"
@@ -48,14 +49,14 @@
 SUCCEEDED_STATE: typing.Final = "succeeded"
 FINAL_JOB_STATES: typing.Final = (SUCCEEDED_STATE, "failed", "cancelled")
 
-# Requests.
+# Requests to services.
 URGENT: typing.Final = "urgent"
 IDEMPOTENT: typing.Final = "idempotent"
 DEADLINE_UNIX_MS: typing.Final = "deadline_unix_ms"
 PAYLOAD: typing.Final = "payload"
 
-# Status: each section is a list of objects, for which these are the columns
-# of the table; "queues" and "shards" come once for each shard.
+# Status: each section is a list of objects, shown as a table with these
+# columns. "shards" and "queues" have one object per shard.
 INSTANCES: typing.Final = "instances"
 INSTANCE_ID: typing.Final = "instance_id"
 STATUS_COLUMNS: typing.Final[dict[str, tuple[str, ...]]] = {
@@ -83,14 +84,14 @@
 
 
 def requests_path(service: str) -> str:
-    """Return the path to which requests of a service are posted."""
+    """Return the path for posting requests to a service."""
     return f"/v1/services/{_quote(service)}/requests"
 
 
 def drain_path(instance_id: str) -> str:
-    """Return the path that drains an instance."""
+    """Return the path for draining an instance."""
     return f"/v1/instances/{_quote(instance_id)}/drain"
 
 
-def _quote(part: str) -> str:
-    return urllib.parse.quote(part, safe="")
+def _quote(segment: str) -> str:
+    return urllib.parse.quote(segment, safe="")
--- a/chestnuttide/cli/_client.py
+++ b/chestnuttide/cli/_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to an entry instance."""
+"""HTTP client for entry instances."""
 
 import json
 import typing
@@ -15,8 +15,8 @@
 
 _FIRST_ERROR_STATUS: typing.Final = 400
 
-# No connection was made, so another entry may be asked the same thing.
-_NOT_CONNECTED: typing.Final = (
+# No connection was made, so the call can safely be sent to another entry.
+_CONNECT_ERRORS: typing.Final = (
     pycurl.E_COULDNT_CONNECT,
     pycurl.E_COULDNT_RESOLVE_HOST,
 )
@@ -24,16 +24,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Reply:
-    """What an entry answered.
+    """HTTP response of an entry.
 
     Attributes
     ----------
     status : int
         HTTP status.
     content_type : str
-        Media type of `body`.
+        Value of the Content-Type header.
     body : bytes
-        The whole body.
+        The complete response body.
     """
 
     status: int
@@ -48,23 +48,24 @@
     timeout_s: float,
     body: object = None,
 ) -> Reply:
-    """Call the first entry that accepts a connection.
+    """Send a call to the first entry that accepts a connection.
 
     Parameters
     ----------
     entries : tuple of str
-        Addresses ``ip:port`` in the order in which they are tried.
+        Addresses ``ip:port``, tried in this order.
     method, path : str
         HTTP method and path.
     timeout_s : float
-        Seconds for the whole call.
+        Timeout in seconds of a call to one entry.
     body : object, optional
         JSON value to send.
 
     Raises
     ------
     CommandError
-        No entry can be reached, or the answer did not come in time.
+        No entry accepts a connection, the connection was lost, or no
+        response arrived in time.
     """
     client = curl_httpclient.CurlAsyncHTTPClient(force_instance=True)
     try:
@@ -91,23 +92,23 @@
                     content_type=response.headers.get("Content-Type", ""),
                     body=response.body or b"",
                 )
-            if not _is_not_connected(response_error):
-                raise _lost_error(entry, response_error, timeout_s)
+            if not _is_connect_error(response_error):
+                raise _make_lost_call_error(entry, response_error, timeout_s)
     finally:
         client.close()
     raise _exits.unreachable_error(
         f"No connection to {', '.join(entries)}.",
-        "Check the address, or give another entry with --entry.",
+        "Check the address, or name another entry with --entry.",
     )
 
 
 def decode(reply: Reply) -> typing.Any:
-    """Return the JSON value of an answer.
+    """Return the JSON object in a response.
 
     Raises
     ------
     CommandError
-        The answer is a refusal, or it is not JSON.
+        The response is a refusal, or it is not a JSON object.
     """
     raise_refusal(reply)
     try:
@@ -116,21 +117,21 @@
         value = None
     if not isinstance(value, dict) or reply.status >= _FIRST_ERROR_STATUS:
         raise _exits.unreachable_error(
-            f"The answer with status {reply.status} is not that of an entry.",
+            f"The response with status {reply.status} is not from an entry.",
             "Check that --entry is the HTTP address of an entry instance.",
         )
     return value
 
 
 def raise_refusal(reply: Reply) -> None:
-    """Raise CommandError if an answer is a refusal."""
+    """Raise CommandError if a response is a refusal with an error code."""
     if reply.status < _FIRST_ERROR_STATUS:
         return
     try:
         body = json.loads(reply.body)
-        refusal = body[_api.ERROR]
-        code, message = refusal[_api.CODE], refusal[_api.MESSAGE]
-        remedy = refusal.get(_api.REMEDY, "")
+        error = body[_api.ERROR]
+        code, message = error[_api.CODE], error[_api.MESSAGE]
+        remedy = error.get(_api.REMEDY, "")
     except (ValueError, TypeError, KeyError, AttributeError):
         return
     raise _exits.CommandError(
@@ -142,22 +143,23 @@
     )
 
 
-def _is_not_connected(error: curl_httpclient.CurlError) -> bool:
-    # curl uses one code for all timeouts; only the text tells them apart.
-    return error.errno in _NOT_CONNECTED or (
+def _is_connect_error(error: curl_httpclient.CurlError) -> bool:
+    # curl has one code for all timeouts; only the message identifies a
+    # connection timeout.
+    return error.errno in _CONNECT_ERRORS or (
         error.errno == pycurl.E_OPERATION_TIMEDOUT
         and "onnection time" in str(error)
     )
 
 
-def _lost_error(
+def _make_lost_call_error(
     entry: str, error: curl_httpclient.CurlError, timeout_s: float
 ) -> _exits.CommandError:
-    remedy = "The call may have taken effect; look before you repeat it."
+    remedy = "The call may have taken effect; check before repeating it."
     if error.errno == pycurl.E_OPERATION_TIMEDOUT:
         return _exits.timeout_error(
-            f"{entry} did not answer within {timeout_s:g} s.", remedy
+            f"{entry} did not respond within {timeout_s:g} s.", remedy
         )
     return _exits.unreachable_error(
-        f"The connection to {entry} broke: {error.message}.", remedy
+        f"The connection to {entry} was lost: {error.message}.", remedy
     )
--- a/chestnuttide/cli/_commands.py
+++ b/chestnuttide/cli/_commands.py
@@ -1,4 +1,4 @@
-"""The commands."""
+"""The commands that call an entry instance."""
 
 import asyncio
 import collections.abc
@@ -27,15 +27,14 @@
 CALL_TIMEOUT_S: typing.Final = 10.0
 WAIT_TIMEOUT_S: typing.Final = 600.0
 
-# Seconds between two polls of a wait.
-POLL_S: typing.Final = 0.5
-# A poll with less time left than this would fail for want of time, and its
-# failure would replace the last known state in the message.
-SHORTEST_CALL_S: typing.Final = 0.05
+POLL_INTERVAL_S: typing.Final = 0.5
+# A poll with less time left would time out, and its error would replace the
+# last known state in the message.
+MIN_POLL_TIMEOUT_S: typing.Final = 0.05
 
-# Added to a request's deadline, so that the entry's own refusal for a missed
+# Added to the client's timeout, so that the entry's error for a missed
 # deadline arrives before the client gives up.
-DEADLINE_SLACK_S: typing.Final = 2.0
+DEADLINE_MARGIN_S: typing.Final = 2.0
 
 _MS_PER_S: typing.Final = 1_000
 _FIRST_ERROR_STATUS: typing.Final = 400
@@ -43,7 +42,7 @@
 
 
 class _EntryCommand(command.Command):
-    """A command that calls an entry; subclasses define `run_calls`."""
+    """Base class of commands that call an entry in `run_calls`."""
 
     help = _exits.EXIT_HELP
 
@@ -52,7 +51,7 @@
         try:
             return asyncio.run(self.run_calls())
         except KeyboardInterrupt:
-            # cleo would report it as 1, which stands for a refusal here.
+            # cleo would exit with 1, which means a refusal here.
             return _exits.EXIT_INTERRUPTED
 
     async def run_calls(self) -> int:
@@ -66,35 +65,39 @@
         body: object = None,
         timeout_s: float | None = None,
     ) -> typing.Any:
-        """Call the entry and return the JSON object that it answers."""
+        """Call an entry and return the JSON object of its response."""
         reply = await _client.call(
-            self.entries(),
+            self.entry_addresses(),
             method,
             path,
-            self.timeout_s(CALL_TIMEOUT_S) if timeout_s is None else timeout_s,
+            self.parse_timeout_s(CALL_TIMEOUT_S)
+            if timeout_s is None
+            else timeout_s,
             body,
         )
         return _client.decode(reply)
 
-    def entries(self) -> tuple[str, ...]:
+    def entry_addresses(self) -> tuple[str, ...]:
         """Return the addresses of the entries."""
         text = self.option("entry") or os.environ.get(ENTRY_VARIABLE, "")
-        found = tuple(part.strip() for part in text.split(",") if part.strip())
-        for address in found:
+        addresses = tuple(
+            part.strip() for part in text.split(",") if part.strip()
+        )
+        for address in addresses:
             if not settings.is_address(address):
                 raise _exits.usage_error(
                     f"{address!r} is not an address.",
                     "Give --entry as ip:port, for example 10.0.0.7:8080.",
                 )
-        if not found:
+        if not addresses:
             raise _exits.usage_error(
-                "No entry is given.",
+                "No entry address is given.",
                 f"Set --entry ip:port or {ENTRY_VARIABLE}.",
             )
-        return found
+        return addresses
 
-    def timeout_s(self, default: float) -> float:
-        """Return the seconds that the command may take."""
+    def parse_timeout_s(self, default: float) -> float:
+        """Return the timeout of the command in seconds."""
         text = self.option("timeout")
         if text is None:
             return default
@@ -109,8 +112,8 @@
             )
         return value
 
-    def whole_number(self, name: str, text: str) -> int:
-        """Return a whole number that is 0 or more."""
+    def parse_whole_number(self, name: str, text: str) -> int:
+        """Return the non-negative whole number in a text."""
         if not (text.isascii() and text.isdigit()):
             raise _exits.usage_error(
                 f"The {name} {text!r} is not a whole number.",
@@ -119,11 +122,11 @@
         return int(text)
 
     def print_text(self, text: str) -> None:
-        """Print a line without cleo's markup."""
+        """Print a line without interpreting cleo's markup."""
         self.io.write_line(text, type=output.Type.RAW)
 
     def print_json(self, value: object) -> None:
-        """Print a value as JSON, for programs on one line."""
+        """Print a value as JSON, on one line if --json is set."""
         indent = None if self.option("json") else 2
         self.print_text(json.dumps(value, indent=indent))
 
@@ -148,72 +151,75 @@
 
     async def wait_until(
         self,
-        what: str,
+        subject: str,
         poll: collections.abc.Callable[
             [float], collections.abc.Awaitable[tuple[bool, str, typing.Any]]
         ],
     ) -> typing.Any:
-        """Poll until done, with a progress line on standard error.
+        """Poll until done and show progress on standard error.
 
         Parameters
         ----------
-        what : str
-            What is awaited, for the progress line.
+        subject : str
+            Name of the operation, for the progress line.
         poll : function
-            ``poll(timeout_s)`` returns whether the wait is over, a few words
+            ``poll(timeout_s)`` returns whether the operation is done, a text
             for the progress line, and the result.
         """
         started = time.monotonic()
-        limit_s = self.timeout_s(WAIT_TIMEOUT_S)
-        show = _make_progress(sys.stderr)
-        words = "no answer yet"
+        limit_s = self.parse_timeout_s(WAIT_TIMEOUT_S)
+        show_progress = _make_progress_printer(sys.stderr)
+        progress = "no response yet"
         try:
             while True:
-                left_s = limit_s - (time.monotonic() - started)
-                if left_s <= SHORTEST_CALL_S:
+                remaining_s = limit_s - (time.monotonic() - started)
+                if remaining_s <= MIN_POLL_TIMEOUT_S:
                     raise _exits.timeout_error(
-                        f"{what} not done within {limit_s:g} s ({words}).",
+                        f"{subject} was not done within {limit_s:g} s"
+                        f" ({progress}).",
                         "Wait again with a longer --timeout.",
                     )
                 try:
-                    done, words, result = await poll(
-                        min(CALL_TIMEOUT_S, left_s)
+                    done, progress, result = await poll(
+                        min(CALL_TIMEOUT_S, remaining_s)
                     )
                 except _exits.CommandError as error:
                     if error.exit_code == _exits.EXIT_REFUSED:
                         raise
-                    # An entry may be replaced during a long wait.
-                    words = error.message
+                    # An entry may be restarted or replaced during a long wait.
+                    progress = error.message
                 else:
                     if done:
                         return result
-                show(f"{what}: {words}", time.monotonic() - started)
-                await asyncio.sleep(POLL_S)
+                show_progress(
+                    f"{subject}: {progress}", time.monotonic() - started
+                )
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
-            show("", 0.0)
+            show_progress("", 0.0)
 
 
-def _make_progress(
+def _make_progress_printer(
     stream: typing.TextIO,
 ) -> collections.abc.Callable[[str, float], None]:
-    """Return the function that shows a progress line.
+    """Return a function that shows a progress line.
 
-    On a terminal the line is drawn again each time. Elsewhere a line is
-    written only when the words change.
+    On a terminal the line is redrawn on each call. Otherwise a line is
+    written only when its text changes.
     """
-    shown = ""
+    last_progress = ""
 
-    def show(words: str, elapsed_s: float) -> None:
-        nonlocal shown
+    def show_progress(progress: str, elapsed_s: float) -> None:
+        nonlocal last_progress
         if stream.isatty():
-            line = f"{words} ({elapsed_s:.0f} s)" if words else ""
+            line = f"{progress} ({elapsed_s:.0f} s)" if progress else ""
             stream.write(f"\r\x1b[K{line}")
-        elif words and words != shown:
-            stream.write(f"{words}\n")
-        shown = words
+        elif progress and progress != last_progress:
+            stream.write(f"{progress}\n")
+        last_progress = progress
         stream.flush()
 
-    return show
+    return show_progress
 
 
 def _format_cell(value: object) -> str:
@@ -223,7 +229,10 @@
 
 
 def _read_json(path: str) -> typing.Any:
-    """Return the JSON value in a file, with comments, or in the input."""
+    """Return the JSON value in a file or in standard input.
+
+    The JSON may have comments.
+    """
     try:
         if path == _STDIN:
             text = sys.stdin.read()
@@ -241,7 +250,8 @@
     value = _read_json(path)
     if not isinstance(value, dict):
         raise _exits.usage_error(
-            f"{path} holds no JSON object.", "Put the fields into an object."
+            f"{path} does not contain a JSON object.",
+            "Put the fields into an object.",
         )
     return value
 
@@ -252,7 +262,7 @@
     name = "config get"
     description = "Print the configuration document."
     arguments: typing.ClassVar = [
-        helpers.argument("number", "Version; the newest if absent.", True)
+        helpers.argument("number", "Version; default: the newest.", True)
     ]
 
     async def run_calls(self) -> int:
@@ -260,22 +270,24 @@
         path = _api.CONFIG_PATH
         number = self.argument("number")
         if number is not None:
-            path = f"{path}?version={self.whole_number('version', number)}"
-        answer = await self.call("GET", path)
+            path = (
+                f"{path}?version={self.parse_whole_number('version', number)}"
+            )
+        response = await self.call("GET", path)
         if not self.option("json"):
-            self.print_text(f"// version {answer.get(_api.VERSION)}")
-            answer = answer.get(_api.DOCUMENT)
-        self.print_json(answer)
+            self.print_text(f"// version {response.get(_api.VERSION)}")
+            response = response.get(_api.DOCUMENT)
+        self.print_json(response)
         return _exits.EXIT_OK
 
 
 class ConfigPatch(_EntryCommand):
-    """Submit a patch of the configuration."""
+    """Submit a patch to the configuration."""
 
     name = "config patch"
-    description = "Submit a JSON merge patch of the configuration."
+    description = "Submit a JSON merge patch to the configuration."
     arguments: typing.ClassVar = [
-        helpers.argument("file", "File with the patch; - for the input.")
+        helpers.argument("file", "File with the patch; - for standard input.")
     ]
     options: typing.ClassVar = [
         helpers.option(
@@ -284,7 +296,7 @@
         helpers.option(
             "author",
             None,
-            f"Who changes it; default: ${AUTHOR_VARIABLE}.",
+            f"Author of the patch; default: ${AUTHOR_VARIABLE}.",
             flag=False,
         ),
     ]
@@ -293,56 +305,58 @@
         """See `_EntryCommand`."""
         base = self.option("base")
         if base is None:
-            # A base taken from the head now would hide that the operator
-            # looked at an older version.
+            # Defaulting to the newest version would hide conflicts if the
+            # operator prepared the patch from an older one.
             raise _exits.usage_error(
                 "The base version is missing.",
-                "Give --base with the version that config get printed.",
+                "Give --base with the version printed by config get.",
             )
         author = self.option("author") or os.environ.get(AUTHOR_VARIABLE)
         if not author:
             raise _exits.usage_error(
                 "The author is missing.", "Give --author with your name."
             )
-        answer = await self.call(
+        response = await self.call(
             "POST",
             _api.CONFIG_PATCHES_PATH,
             {
-                _api.BASE: self.whole_number("base", base),
+                _api.BASE: self.parse_whole_number("base", base),
                 _api.PATCH: _read_object(self.argument("file")),
                 _api.AUTHOR: author,
             },
         )
         if self.option("json"):
-            self.print_json(answer)
+            self.print_json(response)
         else:
-            self.print_text(f"accepted as version {answer.get(_api.VERSION)}")
+            self.print_text(
+                f"accepted as version {response.get(_api.VERSION)}"
+            )
         return _exits.EXIT_OK
 
 
 class ConfigHistory(_EntryCommand):
-    """List the patches of the configuration."""
+    """List the patches to the configuration."""
 
     name = "config history"
     description = "List the recent patches, oldest first."
 
     async def run_calls(self) -> int:
         """See `_EntryCommand`."""
-        answer = await self.call("GET", _api.CONFIG_HISTORY_PATH)
+        response = await self.call("GET", _api.CONFIG_HISTORY_PATH)
         if self.option("json"):
-            self.print_json(answer)
+            self.print_json(response)
             return _exits.EXIT_OK
         rows = [
             {
-                **entry,
+                **record,
                 "changed": ", ".join(
                     ".".join(path)
                     for path in config.changed_paths(
-                        entry.get(_api.PATCH) or {}
+                        record.get(_api.PATCH) or {}
                     )
                 ),
             }
-            for entry in answer.get(_api.PATCHES, [])
+            for record in response.get(_api.PATCHES, [])
         ]
         columns = (_api.VERSION, _api.BASE, _api.AUTHOR, "changed")
         self.print_table(columns, rows)
@@ -357,7 +371,7 @@
     arguments: typing.ClassVar = [
         helpers.argument(
             "section",
-            f"One of {', '.join(_api.STATUS_COLUMNS)}; all if absent.",
+            f"One of {', '.join(_api.STATUS_COLUMNS)}; default: all.",
             True,
         )
     ]
@@ -370,17 +384,17 @@
                 f"There is no section {section!r}.",
                 f"Give one of {', '.join(_api.STATUS_COLUMNS)}.",
             )
-        answer = await self.call("GET", _api.STATUS_PATH)
+        response = await self.call("GET", _api.STATUS_PATH)
         sections = [section] if section else list(_api.STATUS_COLUMNS)
         if self.option("json"):
             self.print_json(
-                {name: answer.get(name, []) for name in sections}
+                {name: response.get(name, []) for name in sections}
                 if section
-                else answer
+                else response
             )
             return _exits.EXIT_OK
         for name in sections:
-            rows = answer.get(name, [])
+            rows = response.get(name, [])
             self.print_text(f"{name} ({len(rows)})")
             self.print_table(_api.STATUS_COLUMNS[name], rows)
         return _exits.EXIT_OK
@@ -401,12 +415,12 @@
     """Submit a job."""
 
     name = "job submit"
-    description = "Submit a job; its id makes a repeated call harmless."
+    description = "Submit a job; resubmitting the same id is safe."
     arguments: typing.ClassVar = [
-        helpers.argument("file", "File with the job; - for the input.")
+        helpers.argument("file", "File with the job; - for standard input.")
     ]
     options: typing.ClassVar = [
-        helpers.option("wait", None, "Wait until the job has ended.")
+        helpers.option("wait", None, "Wait until the job has finished.")
     ]
 
     async def run_calls(self) -> int:
@@ -415,34 +429,34 @@
         job_id = job.get(_api.ID)
         if not isinstance(job_id, str) or not job_id:
             raise _exits.usage_error(
-                "The job has no id.", 'Give it a string "id" of its own.'
+                "The job has no id.", 'Add a unique string "id" to it.'
             )
-        answer = await self.call(
+        response = await self.call(
             "POST", _api.JOBS_PATH, job, timeout_s=self._call_timeout_s()
         )
         if not self.option("wait"):
-            self.print_job({**job, **answer})
+            self.print_job({**job, **response})
             return _exits.EXIT_OK
 
         async def poll(timeout_s: float) -> tuple[bool, str, typing.Any]:
-            found = await self.call(
+            current = await self.call(
                 "GET", _api.job_path(job_id), timeout_s=timeout_s
             )
-            state = found.get(_api.STATE)
-            words = (
-                f"{state}, {found.get(_api.TASKS_SUCCEEDED, 0)} of"
-                f" {found.get(_api.TASKS, '?')} tasks succeeded"
+            state = current.get(_api.STATE)
+            progress = (
+                f"{state}, {current.get(_api.TASKS_SUCCEEDED, 0)} of"
+                f" {current.get(_api.TASKS, '?')} tasks succeeded"
             )
-            return state in _api.FINAL_JOB_STATES, words, found
+            return state in _api.FINAL_JOB_STATES, progress, current
 
-        ended = await self.wait_until(f"job {job_id}", poll)
-        self.print_job(ended)
-        if ended.get(_api.STATE) == _api.SUCCEEDED_STATE:
+        final_job = await self.wait_until(f"job {job_id}", poll)
+        self.print_job(final_job)
+        if final_job.get(_api.STATE) == _api.SUCCEEDED_STATE:
             return _exits.EXIT_OK
         return _exits.EXIT_REFUSED
 
     def _call_timeout_s(self) -> float:
-        return min(CALL_TIMEOUT_S, self.timeout_s(CALL_TIMEOUT_S))
+        return min(CALL_TIMEOUT_S, self.parse_timeout_s(CALL_TIMEOUT_S))
 
 
 class JobList(_EntryCommand):
@@ -457,10 +471,10 @@
 
     async def run_calls(self) -> int:
         """See `_EntryCommand`."""
-        answer = await self.call("GET", _api.JOBS_PATH)
+        response = await self.call("GET", _api.JOBS_PATH)
         jobs = [
             job
-            for job in answer.get(_api.JOBS, [])
+            for job in response.get(_api.JOBS, [])
             if self.option("team") in (None, job.get(_api.TEAM))
             and self.option("state") in (None, job.get(_api.STATE))
         ]
@@ -503,18 +517,24 @@
     """Send a request to a service."""
 
     name = "request send"
-    description = "Send a request to a service and print the answer."
+    description = "Send a request to a service and print the response."
     arguments: typing.ClassVar = [
         helpers.argument("service", "Name of the service."),
         helpers.argument(
-            "file", "File with the JSON payload; - for the input.", True
+            "file", "File with the JSON payload; - for standard input.", True
         ),
     ]
     options: typing.ClassVar = [
-        helpers.option("team", None, "Team that is charged.", flag=False),
-        helpers.option("id", None, "Id; a new one if absent.", flag=False),
-        helpers.option("urgent", None, "Go before work that is not urgent."),
-        helpers.option("idempotent", None, "The request may run again."),
+        helpers.option(
+            "team", None, "Team to charge for the request.", flag=False
+        ),
+        helpers.option(
+            "id", None, "Request id; generated by default.", flag=False
+        ),
+        helpers.option("urgent", None, "Schedule before non-urgent work."),
+        helpers.option(
+            "idempotent", None, "The request may be run more than once."
+        ),
     ]
 
     async def run_calls(self) -> int:
@@ -526,12 +546,12 @@
             )
         path = self.argument("file")
         request_id = self.option("id") or uuid.uuid4().hex
-        timeout_s = self.timeout_s(CALL_TIMEOUT_S)
+        timeout_s = self.parse_timeout_s(CALL_TIMEOUT_S)
         reply = await _client.call(
-            self.entries(),
+            self.entry_addresses(),
             "POST",
             _api.requests_path(self.argument("service")),
-            timeout_s + DEADLINE_SLACK_S,
+            timeout_s + DEADLINE_MARGIN_S,
             {
                 _api.ID: request_id,
                 _api.TEAM: team,
@@ -576,11 +596,13 @@
     async def run_calls(self) -> int:
         """See `_EntryCommand`."""
         instance_id = self.argument("instance")
-        answer = await self.call(
+        response = await self.call(
             "POST",
             _api.drain_path(instance_id),
             {},
-            timeout_s=min(CALL_TIMEOUT_S, self.timeout_s(CALL_TIMEOUT_S)),
+            timeout_s=min(
+                CALL_TIMEOUT_S, self.parse_timeout_s(CALL_TIMEOUT_S)
+            ),
         )
         if self.option("wait"):
 
@@ -588,16 +610,16 @@
                 status = await self.call(
                     "GET", _api.STATUS_PATH, timeout_s=timeout_s
                 )
-                found = _find_instance(status, instance_id)
-                state = found.get(_api.STATE)
-                return state in _api.DRAINED_STATES, str(state), found
+                instance = _find_instance(status, instance_id)
+                state = instance.get(_api.STATE)
+                return state in _api.DRAINED_STATES, str(state), instance
 
-            answer = await self.wait_until(f"drain of {instance_id}", poll)
+            response = await self.wait_until(f"drain of {instance_id}", poll)
         if self.option("json"):
-            self.print_json(answer)
+            self.print_json(response)
         else:
             self.print_text(
-                f"{instance_id}: {answer.get(_api.STATE, 'draining')}"
+                f"{instance_id}: {response.get(_api.STATE, 'draining')}"
             )
         return _exits.EXIT_OK
 
@@ -605,7 +627,7 @@
 def _find_instance(
     status: collections.abc.Mapping, instance_id: str
 ) -> dict[str, typing.Any]:
-    """Return an instance of a status; one that is not listed is gone."""
+    """Return an instance from a status; an unlisted instance is gone."""
     for instance in status.get(_api.INSTANCES, []):
         if instance.get(_api.INSTANCE_ID) == instance_id:
             return instance
--- a/chestnuttide/cli/_exits.py
+++ b/chestnuttide/cli/_exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, and the failures behind them."""
+"""Exit codes of the command line and the errors that cause them."""
 
 import typing
 
@@ -9,7 +9,7 @@
 EXIT_USAGE: typing.Final = 2
 EXIT_UNREACHABLE: typing.Final = 3
 EXIT_TIMEOUT: typing.Final = 4
-# What a shell reports for a program that Ctrl-C ended.
+# The code that shells report for a program interrupted with Ctrl-C.
 EXIT_INTERRUPTED: typing.Final = 130
 
 EXIT_HELP: typing.Final = f"""\
@@ -23,16 +23,16 @@
 
 
 class CommandError(errors.SchedulerError):
-    """A command failed.
+    """Error that ends a command with an exit code.
 
     Parameters
     ----------
     exit_code : int
         Exit code of the process.
     code : str
-        Stable code for programs.
+        Stable error code for programs.
     body : dict, optional
-        The refusal as the entry sent it.
+        Error response of the entry, as received.
     """
 
     def __init__(
@@ -51,14 +51,14 @@
 
 
 def usage_error(message: str, remedy: str) -> CommandError:
-    """Return the error for a wrong command line."""
+    """Return the error for an invalid command line."""
     return CommandError(
         message=message, remedy=remedy, exit_code=EXIT_USAGE, code="usage"
     )
 
 
 def timeout_error(message: str, remedy: str) -> CommandError:
-    """Return the error for a wait that took too long."""
+    """Return the error for an expired timeout."""
     return CommandError(
         message=message, remedy=remedy, exit_code=EXIT_TIMEOUT, code="timeout"
     )
--- a/chestnuttide/cli/_main.py
+++ b/chestnuttide/cli/_main.py
@@ -17,11 +17,11 @@
 
 
 class _Application(application.Application):
-    """The cleo application; its help lists the exit codes."""
+    """The cleo application, with the exit codes in its help."""
 
     @property
     def help(self) -> str:
-        """Text above the list of commands."""
+        """Text shown above the list of commands."""
         return f"{self.long_version}\n\n{_exits.EXIT_HELP}"
 
 
@@ -47,7 +47,7 @@
             argv_input.ArgvInput(["chestnuttide", *arguments])
         )
     except exceptions.CleoError as error:
-        # The parser failed, so --json is looked up in the bare arguments.
+        # No options were parsed, so --json is looked up in the raw arguments.
         failure = _exits.usage_error(
             " ".join(str(error).split()), "(See chestnuttide COMMAND --help.)"
         )
@@ -73,23 +73,23 @@
 
 
 def _make_application() -> application.Application:
-    made = _Application("chestnuttide", chestnuttide.__version__)
-    made.auto_exits(False)
-    made.catch_exceptions(False)
-    made.definition.add_options(
+    app = _Application("chestnuttide", chestnuttide.__version__)
+    app.auto_exits(False)
+    app.catch_exceptions(False)
+    app.definition.add_options(
         [
             helpers.option(
                 "entry",
                 None,
-                "Address ip:port of an entry instance, or several with commas"
-                f" between them; default: ${_commands.ENTRY_VARIABLE}.",
+                "Address ip:port of an entry instance, or several, separated"
+                f" by commas; default: ${_commands.ENTRY_VARIABLE}.",
                 flag=False,
             ),
-            helpers.option("json", None, "Print JSON for programs."),
+            helpers.option("json", None, "Print machine-readable JSON."),
             helpers.option(
                 "timeout",
                 None,
-                "Seconds for the whole command; default:"
+                "Timeout of the command in seconds; default:"
                 f" {_commands.CALL_TIMEOUT_S:g}, or with --wait"
                 f" {_commands.WAIT_TIMEOUT_S:g}.",
                 flag=False,
@@ -97,5 +97,5 @@
         ]
     )
     for command in (*_commands.COMMANDS, _trace.Trace):
-        made.add(command())
-    return made
+        app.add(command())
+    return app
--- a/chestnuttide/cli/_trace.py
+++ b/chestnuttide/cli/_trace.py
@@ -1,4 +1,4 @@
-"""The command that follows an id through log files."""
+"""The command that traces an id through log files."""
 
 import collections.abc
 import json
@@ -9,17 +9,17 @@
 
 from chestnuttide.cli import _exits
 
-# Fields that each line has, or that the printed line shows in front.
+# Fields that every line has; some are printed before the other fields.
 _COMMON: typing.Final = frozenset(
     ("level", "logger", "message", "instance_id", "daemon", "timestamp")
 )
 
 
 class Trace(command.Command):
-    """Print the lines of log files that name an id, in order of time."""
+    """Print the log lines that contain an id, ordered by time."""
 
     name = "trace"
-    description = "Follow the id of a job or a worker through log files."
+    description = "Trace the id of a job or a worker through log files."
     help = _exits.EXIT_HELP
     arguments: typing.ClassVar = [
         helpers.argument("id", "Id of a job, a task or a worker."),
@@ -32,36 +32,36 @@
         for name in self.argument("files"):
             with open(name, encoding="utf-8", errors="replace") as log:
                 lines.extend(log)
-        traced = trace_lines(self.argument("id"), lines)
-        for line in traced:
+        matches = trace_lines(self.argument("id"), lines)
+        for line in matches:
             self.line(line)
-        return _exits.EXIT_OK if traced else _exits.EXIT_REFUSED
+        return _exits.EXIT_OK if matches else _exits.EXIT_REFUSED
 
 
 def trace_lines(
-    wanted: str, lines: collections.abc.Iterable[str]
+    searched_id: str, lines: collections.abc.Iterable[str]
 ) -> list[str]:
-    """Return the JSON lines with an id as text, in order of time.
+    """Return the JSON log lines that contain an id, as text ordered by time.
 
-    A line may have other text before its JSON object, such as a collector's
-    time and host. Lines without an object are passed over.
+    A line may have a prefix before its JSON object, such as the time and host
+    added by a log collector. Lines without a JSON object are skipped.
     """
-    found = []
+    matches = []
     for line in lines:
-        begin = line.find("{")
-        if wanted not in line or begin < 0:
+        start = line.find("{")
+        if searched_id not in line or start < 0:
             continue
         try:
-            document = json.loads(line[begin:])
+            document = json.loads(line[start:])
         except ValueError:
-            # A line that was cut off; it holds no complete decision.
+            # A truncated line does not hold a complete record.
             continue
         fields = " ".join(
             f"{name}={value}"
             for name, value in document.items()
             if name not in _COMMON
         )
-        found.append(
+        matches.append(
             (
                 document.get("timestamp", ""),
                 f"{document.get('timestamp', '')}"
@@ -69,4 +69,4 @@
                 f" {document.get('message', '')} {fields}",
             )
         )
-    return [text for _, text in sorted(found, key=lambda pair: pair[0])]
+    return [text for _, text in sorted(matches, key=lambda match: match[0])]
--- a/chestnuttide/cli/tests/test_cli.py
+++ b/chestnuttide/cli/tests/test_cli.py
@@ -55,14 +55,15 @@
 
 @attrs.define(kw_only=True)
 class _FakeEntry:
-    """An entry that plays back answers and notes the calls.
+    """A fake entry that sends preset responses and records the calls.
 
-    `answers` holds lists of status and body for each method and path; the
-    last one of a list is repeated. A body of None means no answer.
+    `responses` maps each method and path to a list of statuses and bodies;
+    the last one of a list is repeated. With a body of None the response is
+    delayed.
     """
 
     address: str = ""
-    answers: dict[str, list[tuple[int, object]]] = attrs.field(factory=dict)
+    responses: dict[str, list[tuple[int, object]]] = attrs.field(factory=dict)
     calls: list[tuple[str, typing.Any]] = attrs.field(factory=list)
 
 
@@ -74,23 +75,27 @@
         name = f"{self.request.method} {self.request.uri}"
         body = self.request.body
         self._entry.calls.append((name, json.loads(body) if body else None))
-        answers = self._entry.answers.get(name)
-        if not answers:
+        responses = self._entry.responses.get(name)
+        if not responses:
             self.set_status(404)
-            self.finish("no such page")
+            self.finish("not found")
             return
-        status, answer = answers.pop(0) if len(answers) > 1 else answers[0]
-        if answer is None:
+        status, response = (
+            responses.pop(0) if len(responses) > 1 else responses[0]
+        )
+        if response is None:
             await asyncio.sleep(1.0)
         self.set_status(status)
-        self.finish(answer if isinstance(answer, str) else json.dumps(answer))
+        self.finish(
+            response if isinstance(response, str) else json.dumps(response)
+        )
 
 
 @pytest.fixture
 def entry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> collections.abc.Iterator[_FakeEntry]:
-    # The command runs its own event loop, so the fake entry needs another
+    # The command runs its own event loop, so the fake entry runs in another
     # thread.
     fake = _FakeEntry()
     started = threading.Event()
@@ -114,33 +119,33 @@
     thread.start()
     assert started.wait(5)
     monkeypatch.setenv(_commands.ENTRY_VARIABLE, fake.address)
-    monkeypatch.setattr(_commands, "POLL_S", 0.01)
+    monkeypatch.setattr(_commands, "POLL_INTERVAL_S", 0.01)
     yield fake
     loop.call_soon_threadsafe(loop.stop)
     thread.join(5)
 
 
-def _write(path: pathlib.Path, text: str) -> str:
+def _write_file(path: pathlib.Path, text: str) -> str:
     path.write_text(text)
     return str(path)
 
 
 @pytest.mark.parametrize(
-    ("arguments", "call", "answer", "shown"),
+    ("arguments", "call", "response", "expected"),
     [
         pytest.param(
             ["config", "get"],
             ("GET /v1/config", None),
             {"version": 7, "document": {"pool": {}}},
             ["// version 7", '"pool": {}'],
-            id="config_not_shown",
+            id="config_get",
         ),
         pytest.param(
             ["config", "get", "3"],
             ("GET /v1/config?version=3", None),
             {"version": 3, "document": {}},
             ["// version 3"],
-            id="old_version_not_asked_for",
+            id="config_get_version",
         ),
         pytest.param(
             ["config", "patch", "FILE", "--base", "6", "--author", "ann"],
@@ -150,7 +155,7 @@
             ),
             {"version": 7},
             ["accepted as version 7"],
-            id="patch_without_base_or_author",
+            id="config_patch",
         ),
         pytest.param(
             ["config", "history"],
@@ -167,198 +172,202 @@
                 ],
             },
             ["VERSION", "ann", "teams.mill"],
-            id="changed_paths_not_shown",
+            id="config_history",
         ),
         pytest.param(
             ["status"],
             ("GET /v1/status", None),
             _STATUS,
             ["instances (2)", "a-<2>", "workers/main", "CPU_MILLIS", "34"],
-            id="markup_in_name_or_section_lost",
+            id="status_with_markup_in_name",
         ),
         pytest.param(
             ["job", "submit", "FILE"],
             ("POST /v1/jobs", {"id": "j/1"}),
             {"id": "j/1", "state": "queued"},
             ["j/1", "queued"],
-            id="job_not_submitted",
+            id="job_submit",
         ),
         pytest.param(
             ["job", "list", "--team", "mill"],
             ("GET /v1/jobs", None),
             {"jobs": [{**_JOB, "state": "running"}]},
             ["j/1", "running"],
-            id="jobs_not_listed",
+            id="job_list",
         ),
         pytest.param(
             ["job", "read", "j/1"],
             ("GET /v1/jobs/j%2F1", None),
             {**_JOB, "state": "running"},
             ["j/1", "running"],
-            id="slash_in_id_splits_path",
+            id="job_read_with_slash_in_id",
         ),
         pytest.param(
             ["job", "cancel", "j/1"],
             ("DELETE /v1/jobs/j%2F1", None),
             {**_JOB, "state": "cancelled"},
             ["cancelled"],
-            id="job_not_cancelled",
+            id="job_cancel",
         ),
         pytest.param(
             ["drain", "a-1"],
             ("POST /v1/instances/a-1/drain", {}),
             {"instance_id": "a-1", "state": "leaving"},
             ["a-1: leaving"],
-            id="drain_not_asked_for",
+            id="drain",
         ),
     ],
 )
-def test_command(
+def test_command_calls_entry_and_prints_response(
     entry: _FakeEntry,
     capsys: pytest.CaptureFixture,
     tmp_path: pathlib.Path,
     arguments: list[str],
     call: tuple[str, object],
-    answer: object,
-    shown: list[str],
+    response: object,
+    expected: list[str],
 ) -> None:
-    file = _write(tmp_path / "input.jsonc", '{"id": "j/1"} // a job')
+    file = _write_file(tmp_path / "input.jsonc", '{"id": "j/1"} // a job')
     arguments = [file if part == "FILE" else part for part in arguments]
-    entry.answers[call[0]] = [(200, answer)]
+    entry.responses[call[0]] = [(200, response)]
     assert cli.main(arguments) == cli.EXIT_OK
     text = capsys.readouterr().out
-    for part in shown:
+    for part in expected:
         assert part in text
     assert cli.main([*arguments, "--json"]) == cli.EXIT_OK
     assert json.loads(capsys.readouterr().out)
     assert entry.calls == [call, call]
 
 
-def test_status_of_one_section(
+def test_status_prints_only_the_requested_section(
     entry: _FakeEntry, capsys: pytest.CaptureFixture
 ) -> None:
-    entry.answers["GET /v1/status"] = [(200, _STATUS)]
+    entry.responses["GET /v1/status"] = [(200, _STATUS)]
     assert cli.main(["status", "queues"]) == cli.EXIT_OK
     assert "instances" not in capsys.readouterr().out
     cli.main(["status", "queues", "--json"])
-    found = json.loads(capsys.readouterr().out)
-    assert found == {"queues": _STATUS["queues"]}
+    printed = json.loads(capsys.readouterr().out)
+    assert printed == {"queues": _STATUS["queues"]}
 
 
 @pytest.mark.parametrize(
-    ("arguments", "answers", "code", "shown"),
+    ("arguments", "responses", "code", "expected"),
     [
         pytest.param(
             ["config", "get"],
             [(409, _REFUSAL)],
             cli.EXIT_REFUSED,
             "config_conflict: Changed since version 3",
-            id="refusal_looks_like_success",
+            id="refusal",
         ),
         pytest.param(
             ["config", "get"],
             [(200, "<html>")],
             cli.EXIT_UNREACHABLE,
-            "not that of an entry",
-            id="foreign_server_raises",
+            "is not from an entry",
+            id="response_of_other_server",
         ),
         pytest.param(
             ["config", "get"],
             [(502, {"message": "bad gateway"})],
             cli.EXIT_UNREACHABLE,
             "status 502",
-            id="error_without_code_looks_like_success",
+            id="http_error_without_code",
         ),
         pytest.param(
             ["config", "get", "--timeout", "0.2"],
             [(200, None)],
             cli.EXIT_TIMEOUT,
-            "did not answer within 0.2 s",
-            id="silent_entry_blocks",
+            "did not respond within 0.2 s",
+            id="unresponsive_entry",
         ),
         pytest.param(
             ["config", "get", "--entry", "127.0.0.1:1"],
             [],
             cli.EXIT_UNREACHABLE,
             "No connection to 127.0.0.1:1",
-            id="closed_port_raises",
+            id="closed_port",
         ),
         pytest.param(
             ["config", "get", "--entry", "entry.example"],
             [],
             cli.EXIT_USAGE,
             "ip:port",
-            id="bad_address_reaches_client",
+            id="invalid_address",
         ),
         pytest.param(
             ["config", "get", "x"],
             [],
             cli.EXIT_USAGE,
             "not a whole number",
-            id="version_not_checked",
+            id="invalid_version",
         ),
         pytest.param(
             ["config", "get", "--timeout", "nan"],
             [],
             cli.EXIT_USAGE,
             "above 0",
-            id="timeout_not_checked",
+            id="invalid_timeout",
         ),
         pytest.param(
             ["config", "patch", "-", "--author", "ann"],
             [],
             cli.EXIT_USAGE,
             "--base",
-            id="patch_without_base_sent",
+            id="patch_without_base",
         ),
         pytest.param(
             ["job", "submit", "/nonexistent.json"],
             [],
             cli.EXIT_USAGE,
             "/nonexistent.json",
-            id="missing_file_raises",
+            id="missing_file",
         ),
         pytest.param(
             ["status", "racks"],
             [],
             cli.EXIT_USAGE,
             "instances, shards, workers, queues",
-            id="unknown_section_shows_nothing",
+            id="unknown_section",
         ),
         pytest.param(
             ["request", "send", "casting"],
             [],
             cli.EXIT_USAGE,
             "--team",
-            id="request_without_team_sent",
+            id="request_without_team",
         ),
         pytest.param(
             ["config", "gte"],
             [],
             cli.EXIT_USAGE,
             "config get",
-            id="nearest_command_not_named",
+            id="misspelt_command",
         ),
         pytest.param(
             ["drain"], [], cli.EXIT_USAGE, "instance", id="missing_argument"
         ),
         pytest.param(
-            ["status", "--frob"], [], cli.EXIT_USAGE, "frob", id="bad_option"
+            ["status", "--frob"],
+            [],
+            cli.EXIT_USAGE,
+            "frob",
+            id="unknown_option",
         ),
     ],
 )
-def test_failure(
+def test_error_is_printed_with_exit_code(
     entry: _FakeEntry,
     capsys: pytest.CaptureFixture,
     arguments: list[str],
-    answers: list,
+    responses: list,
     code: int,
-    shown: str,
+    expected: str,
 ) -> None:
-    entry.answers["GET /v1/config"] = answers
+    entry.responses["GET /v1/config"] = responses
     assert cli.main(arguments) == code
     captured = capsys.readouterr()
-    assert shown in captured.err
+    assert expected in captured.err
     assert captured.out == ""
     assert cli.main([*arguments, "--json"]) == code
     assert json.loads(capsys.readouterr().out)["error"]["code"]
@@ -366,8 +375,8 @@
         assert entry.calls == []
 
 
-def test_next_entry_is_asked_if_the_first_is_down(entry: _FakeEntry) -> None:
-    entry.answers["GET /v1/status"] = [(200, _STATUS)]
+def test_next_entry_is_called_if_the_first_is_down(entry: _FakeEntry) -> None:
+    entry.responses["GET /v1/status"] = [(200, _STATUS)]
     entries = f"127.0.0.1:1,{entry.address}"
     assert cli.main(["--entry", entries, "status"]) == cli.EXIT_OK
 
@@ -375,7 +384,7 @@
 def test_call_that_may_have_run_is_not_sent_to_the_next_entry(
     entry: _FakeEntry,
 ) -> None:
-    entry.answers["POST /v1/instances/a-1/drain"] = [(200, None)]
+    entry.responses["POST /v1/instances/a-1/drain"] = [(200, None)]
     entries = f"{entry.address},{entry.address}"
     arguments = ["drain", "a-1", "--entry", entries, "--timeout", "0.2"]
     assert cli.main(arguments) == cli.EXIT_TIMEOUT
@@ -383,7 +392,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "answers", "code", "progress", "shown"),
+    ("arguments", "responses", "code", "expected_progress", "expected"),
     [
         pytest.param(
             ["job", "submit", "FILE", "--wait"],
@@ -399,7 +408,7 @@
             cli.EXIT_OK,
             ["job j/1: queued", "status 502", "running, 3 of 4 tasks"],
             "succeeded",
-            id="wait_ends_early_or_at_a_restart",
+            id="job_succeeds_after_entry_restart",
         ),
         pytest.param(
             ["job", "submit", "FILE", "--wait"],
@@ -410,7 +419,7 @@
             cli.EXIT_REFUSED,
             [],
             "failed",
-            id="failed_job_looks_like_success",
+            id="job_fails",
         ),
         pytest.param(
             ["job", "submit", "FILE", "--wait", "--timeout", "0.2"],
@@ -421,7 +430,7 @@
             cli.EXIT_TIMEOUT,
             ["not done within 0.2 s (queued"],
             "",
-            id="wait_never_ends",
+            id="timeout",
         ),
         pytest.param(
             ["drain", "a-1", "--wait"],
@@ -435,58 +444,58 @@
             cli.EXIT_OK,
             ["drain of a-1: live"],
             "a-1: gone",
-            id="drain_not_awaited",
+            id="drain",
         ),
     ],
 )
-def test_wait(
+def test_wait_polls_until_done(
     entry: _FakeEntry,
     capsys: pytest.CaptureFixture,
     tmp_path: pathlib.Path,
     arguments: list[str],
-    answers: dict,
+    responses: dict,
     code: int,
-    progress: list[str],
-    shown: str,
+    expected_progress: list[str],
+    expected: str,
 ) -> None:
-    file = _write(tmp_path / "job.json", json.dumps(_JOB))
-    entry.answers.update({name: list(item) for name, item in answers.items()})
+    file = _write_file(tmp_path / "job.json", json.dumps(_JOB))
+    entry.responses.update(
+        {name: list(item) for name, item in responses.items()}
+    )
     arguments = [file if part == "FILE" else part for part in arguments]
     assert cli.main(arguments) == code
     captured = capsys.readouterr()
-    assert shown in captured.out
-    for part in progress:
+    assert expected in captured.out
+    for part in expected_progress:
         assert part in captured.err
 
 
 @pytest.mark.parametrize(
-    ("status", "answer", "code", "out"),
+    ("status", "response", "code", "out"),
     [
-        pytest.param(200, {"a": 1}, cli.EXIT_OK, '{"a": 1}', id="changed"),
-        pytest.param(
-            500, "oops", cli.EXIT_REFUSED, "oops", id="target_error_hidden"
-        ),
+        pytest.param(200, {"a": 1}, cli.EXIT_OK, '{"a": 1}', id="success"),
+        pytest.param(500, "oops", cli.EXIT_REFUSED, "oops", id="target_error"),
         pytest.param(
             503,
             {"error": {"code": "queue_full", "message": "Full."}},
             cli.EXIT_REFUSED,
             "",
-            id="refusal_printed_as_answer",
+            id="refusal",
         ),
     ],
 )
-def test_request(
+def test_request_send(
     entry: _FakeEntry,
     capsys: pytest.CaptureFixture,
     tmp_path: pathlib.Path,
     status: int,
-    answer: object,
+    response: object,
     code: int,
     out: str,
 ) -> None:
     name = "POST /v1/services/casting/requests"
-    entry.answers[name] = [(status, answer)]
-    file = _write(tmp_path / "payload.json", '{"x": 1}')
+    entry.responses[name] = [(status, response)]
+    file = _write_file(tmp_path / "payload.json", '{"x": 1}')
     arguments = ["request", "send", "casting", file, "--team", "mill"]
     assert cli.main([*arguments, "--id", "r-1", "--urgent"]) == code
     assert capsys.readouterr().out.strip() == out
@@ -505,9 +514,9 @@
 @pytest.mark.parametrize(
     "arguments",
     [
-        pytest.param([], id="bare_command"),
+        pytest.param([], id="no_command"),
         pytest.param(["--help"], id="help"),
-        pytest.param(["job", "submit", "--help"], id="help_of_command"),
+        pytest.param(["job", "submit", "--help"], id="command_help"),
     ],
 )
 def test_help_lists_exit_codes(
--- a/chestnuttide/cli/tests/test_trace.py
+++ b/chestnuttide/cli/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Following an id through log files."""
+"""Tests of tracing an id through log files."""
 
 import json
 
@@ -20,17 +20,17 @@
         pytest.param(
             [_line("2", "b", job="j1"), _line("1", "a", job="j1")],
             ["1 n1 a job=j1", "2 n1 b job=j1"],
-            id="ordered-by-time",
+            id="sorted-by-time",
         ),
-        pytest.param([_line("1", "a", job="j2")], [], id="another-job"),
+        pytest.param([_line("1", "a", job="j2")], [], id="other-job"),
         pytest.param(
             ["11.5 host " + _line("1", "a", task="j1.0.0.3")],
             ["1 n1 a task=j1.0.0.3"],
-            id="text-of-a-collector-in-front",
+            id="collector-prefix",
         ),
-        pytest.param(['{"job": "j1"', "j1"], [], id="cut-off-lines"),
+        pytest.param(['{"job": "j1"', "j1"], [], id="truncated-lines"),
     ],
 )
-def test_lines_of_a_job(lines: list[str], expected: list[str]) -> None:
-    """Guards against traces that leave out or disorder decisions."""
+def test_trace_lines(lines: list[str], expected: list[str]) -> None:
+    """Guards against traces that omit log lines or have them unsorted."""
     assert _trace.trace_lines("j1", lines) == expected
