--- a/chestnuttide/platform/__init__.py
+++ b/chestnuttide/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Ports to the platform and their clients."""
+"""Interfaces to the external systems of the platform, and their clients."""
 
 from chestnuttide.platform import _advisor
 from chestnuttide.platform import _formats
@@ -6,14 +6,14 @@
 from chestnuttide.platform import _instance_list_client
 from chestnuttide.platform import _kv_store
 from chestnuttide.platform import _ports
-from chestnuttide.platform import _run_orders
 from chestnuttide.platform import _store_client
 from chestnuttide.platform import _target_client
 from chestnuttide.platform import _worker_agent_client
+from chestnuttide.platform import _worker_commands
 
 ClusterConfig = _formats.ClusterConfig
 ConditionError = _kv_store.ConditionError
-EndRow = _run_orders.EndRow
+EndRow = _worker_commands.Completion
 Entry = _ports.Entry
 HistoryLostError = _kv_store.HistoryLostError
 HttpClient = _http.HttpClient
@@ -21,11 +21,11 @@
 InstanceList = _ports.InstanceList
 Item = _kv_store.Item
 KvStore = _kv_store.KvStore
-Look = _run_orders.Look
+Look = _worker_commands.PollReply
 MAX_TRANSACTION_ENTRIES = _kv_store.MAX_TRANSACTION_ENTRIES
 MAX_WORKERS_PER_CALL = _advisor.MAX_WORKERS_PER_CALL
-OrderReply = _run_orders.OrderReply
-RunRow = _run_orders.RunRow
+OrderReply = _worker_commands.CommandReply
+RunRow = _worker_commands.RunReport
 StartOutcome = _ports.StartOutcome
 Store = _ports.Store
 StoreRefusedError = _kv_store.StoreRefusedError
@@ -36,29 +36,29 @@
 Tickets = _advisor.Tickets
 Transaction = _kv_store.Transaction
 WatchResult = _ports.WatchResult
-WorkerAddress = _run_orders.WorkerAddress
+WorkerAddress = _worker_commands.WorkerAddress
 WorkerAgent = _ports.WorkerAgent
 ask_advisor = _advisor.ask
 commit = _kv_store.commit
 decode_config = _formats.decode_config
 decode_job = _formats.decode_job
 decode_worker = _formats.decode_worker
-end_lease = _kv_store.end_lease
+end_lease = _kv_store.revoke_lease
 grant_lease = _kv_store.grant_lease
-hold_runs = _run_orders.hold
+hold_runs = _worker_commands.poll_worker
 is_job_id = _formats.is_job_id
 make_client = _http.make_client
 make_instance_list = _instance_list_client.make_instance_list
 make_store = _store_client.make_store
 make_targets = _target_client.make_targets
 make_worker_agent = _worker_agent_client.make_worker_agent
-pace_run = _run_orders.pace
+pace_run = _worker_commands.throttle_run
 read_all = _kv_store.read_all
-read_key = _kv_store.read
+read_key = _kv_store.read_key
 renew_lease = _kv_store.renew_lease
-start_run = _run_orders.start
-stop_run = _run_orders.stop
-watch_keys = _kv_store.watch
+start_run = _worker_commands.start_run
+stop_run = _worker_commands.stop_run
+watch_keys = _kv_store.watch_keys
 
 __all__ = [
     "ClusterConfig",
--- a/chestnuttide/platform/_http.py
+++ b/chestnuttide/platform/_http.py
@@ -1,4 +1,4 @@
-"""HTTP transfers over libcurl that know whether any byte was sent."""
+"""HTTP client over libcurl that reports whether a request was sent."""
 
 import asyncio
 import collections.abc
@@ -13,19 +13,19 @@
 
 from chestnuttide import errors
 
-# A peer within the cell answers a SYN within a few milliseconds; the limit
-# leaves room for one retransmission of a lost SYN after 1 s.
+# A peer in the cell answers a SYN within milliseconds. The limit allows one
+# retransmission, which follows a lost SYN after 1 s.
 CONNECT_TIMEOUT_S: typing.Final[float] = 1.5
 
-# Idle connections are closed after this time, so that an instance that has
-# handed over a shard does not keep using up its targets' connections.
+# Idle connections older than this are closed, so that an instance that has
+# handed over a shard does not keep occupying connections of its targets.
 MAX_IDLE_S: typing.Final[int] = 10
 
-# Sockets that a client remembers per transfer that it may run at once. Of
-# those of closed connections the oldest are forgotten first.
+# Sockets tracked per concurrent transfer. A full table drops its oldest entry,
+# usually that of a connection which has been closed.
 _SOCKETS_PER_CLIENT: typing.Final[int] = 4
 
-# libcurl reads a timeout of 0 ms as "no timeout".
+# libcurl treats a timeout of 0 ms as no timeout.
 _MIN_TIMEOUT_S: typing.Final[float] = 0.001
 
 _USER_AGENT: typing.Final[str] = "chestnuttide"
@@ -40,9 +40,9 @@
     status : int
         HTTP status.
     headers : HTTPHeaders
-        Headers, with case-insensitive names.
+        Response headers; names are case-insensitive.
     body : bytes
-        The whole body.
+        Complete body.
     """
 
     status: int
@@ -52,16 +52,17 @@
 
 @attrs.frozen(kw_only=True, slots=True, eq=False)
 class HttpClient:
-    """A libcurl client with its own pool of connections.
+    """A libcurl client with its own connection pool.
 
     Attributes
     ----------
     curl : CurlAsyncHTTPClient
         The client, bound to one event loop.
     sockets : dict
-        File descriptors of connections by local port and peer.
+        File descriptor of each connection by its local port, peer IP address
+        and peer port.
     max_sockets : int
-        Descriptors to remember.
+        Maximum number of entries in `sockets`.
     """
 
     curl: curl_httpclient.CurlAsyncHTTPClient
@@ -70,8 +71,8 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class _Call:
-    """The arguments of `fetch` that hold for every connection it tries."""
+class _Request:
+    """The arguments of `fetch` that are the same for each connection tried."""
 
     url: str
     method: str
@@ -79,37 +80,37 @@
     headers: dict[str, str] | None
     may_send: collections.abc.Callable[[], bool] | None
     resend: bool
-    keep: bool
+    keep_alive: bool
 
 
 @attrs.define(kw_only=True, slots=True)
 class _Transfer:
-    """Progress of one transfer.
+    """State of one transfer.
 
     Attributes
     ----------
     sent : bool
-        Whether libcurl was allowed to send.
+        Whether libcurl was allowed to send the request.
     withheld : bool
         Whether `may_send` returned False.
-    repeated : bool
-        Whether libcurl was kept from sending the request again.
+    resend_blocked : bool
+        Whether libcurl was prevented from sending the request again.
     stale : bool
-        Whether the peer had closed the reused connection before.
-    fault : Exception or None
-        What `may_send` raised.
+        Whether the peer had already closed the reused connection.
+    check_error : Exception or None
+        Exception that `may_send` raised.
     cancelled : bool
-        Whether the caller has given the transfer up.
+        Whether the transfer was cancelled.
     descriptor : int
-        File descriptor of the socket opened for it; -1 when libcurl reuses a
-        connection.
+        File descriptor of the socket opened for the transfer; -1 if libcurl
+        reuses a connection.
     """
 
     sent: bool = False
     withheld: bool = False
-    repeated: bool = False
+    resend_blocked: bool = False
     stale: bool = False
-    fault: Exception | None = None
+    check_error: Exception | None = None
     cancelled: bool = False
     descriptor: int = -1
 
@@ -122,22 +123,23 @@
     Parameters
     ----------
     max_clients : int
-        Transfers at once. Further ones wait without a timeout, so this must
-        exceed what the caller ever starts at once.
+        Maximum number of concurrent transfers. Further transfers are queued
+        without a timeout, so this must exceed the number that is ever started
+        at once.
     max_host_connections : int
-        Connections to one address; 0 for no limit.
+        Maximum number of connections to one address; 0 for no limit.
 
     Returns
     -------
     HttpClient
-        A client with its own pool of connections.
+        A client with its own connection pool.
     """
     curl = curl_httpclient.CurlAsyncHTTPClient(
         force_instance=True, max_clients=max_clients
     )
     multi = curl._multi
-    # Without a limit of its own libcurl keeps four idle connections per
-    # running transfer and closes the rest, also those of a busy peer.
+    # By default libcurl caches four connections per running transfer and
+    # closes the others, even if their peer is in frequent use.
     multi.setopt(pycurl.M_MAXCONNECTS, max_clients)
     multi.setopt(pycurl.M_MAX_HOST_CONNECTIONS, max_host_connections)
     return HttpClient(
@@ -148,7 +150,7 @@
 
 
 def close(client: HttpClient) -> None:
-    """Close a client and its connections; no transfer may be running."""
+    """Close a client and its connections; no transfer may be in progress."""
     client.curl.close()
 
 
@@ -162,103 +164,107 @@
     headers: dict[str, str] | None = None,
     may_send: collections.abc.Callable[[], bool] | None = None,
     resend: bool = False,
-    keep: bool = True,
+    keep_alive: bool = True,
 ) -> Reply:
-    """Make one transfer: by default a POST with a body, else a GET.
+    """Send a request; the default method is POST with a body, else GET.
 
     Parameters
     ----------
     client : HttpClient
-        A client from `make_client`.
+        Client from `make_client`.
     url : str
-        The whole URL.
+        Absolute URL.
     timeout_s : float
-        Limit of the whole transfer in seconds.
+        Timeout of the whole transfer in seconds.
     method : str, optional
-        Method, if it is not the default.
+        HTTP method, if not the default.
     body : bytes, optional
-        Body to post.
+        Request body.
     headers : dict of str to str, optional
-        Further headers.
+        Additional headers.
     may_send : function, optional
-        Called when the connection stands and nothing was sent; nothing is
-        sent when it returns False.
+        Called when the connection is established and before anything is
+        sent; if it returns False, the request is not sent.
     resend : bool
-        Whether libcurl may send the request once more on a new connection
-        when a reused one was closed without a response.
-    keep : bool
+        Whether libcurl may send the request again on a new connection if a
+        reused one was closed without a response.
+    keep_alive : bool
         Whether the connection may be reused afterwards.
 
     Returns
     -------
     Reply
-        The response, whatever its status.
+        The response, with any status.
 
     Raises
     ------
     PlatformError
-        No complete response came; `sent` tells whether any byte may have
-        left.
+        If no complete response arrived; `sent` tells whether any part of the
+        request may have been sent.
     """
     if timeout_s < _MIN_TIMEOUT_S:
-        raise _failure(url, "the deadline has passed", sent=False)
-    call = _Call(
+        raise _make_error(url, "the deadline has passed", sent=False)
+    request = _Request(
         url=url,
         method=method or ("GET" if body is None else "POST"),
         body=body,
         headers=headers,
         may_send=may_send,
         resend=resend,
-        keep=keep,
+        keep_alive=keep_alive,
     )
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout_s
     transfer = _Transfer()
     try:
-        return await _transfer(client, call, transfer, timeout_s, fresh=False)
+        return await _transfer(
+            client, request, transfer, timeout_s, new_connection=False
+        )
     except errors.PlatformError:
         remaining_s = deadline - loop.time()
         if not transfer.stale or remaining_s < _MIN_TIMEOUT_S:
             raise
-    # Nothing was sent, so a new connection is safe for every request.
-    return await _transfer(client, call, _Transfer(), remaining_s, fresh=True)
+    # Nothing was sent, so any request is safe to retry on a new connection.
+    return await _transfer(
+        client, request, _Transfer(), remaining_s, new_connection=True
+    )
 
 
 async def _transfer(
     client: HttpClient,
-    call: _Call,
+    request: _Request,
     transfer: _Transfer,
     timeout_s: float,
     *,
-    fresh: bool,
+    new_connection: bool,
 ) -> Reply:
-    def after_open(descriptor: int, _purpose: int) -> int:
+    def on_socket_open(descriptor: int, _purpose: int) -> int:
         transfer.descriptor = descriptor
         return pycurl.SOCKOPT_OK
 
-    def before_send(
+    def on_before_send(
         peer_ip: str, _local_ip: str, peer_port: int, local_port: int
     ) -> int:
-        # libcurl calls this for each request that it is about to write, also
-        # on a reused connection and also when it repeats a request by
-        # itself. A call after a send is therefore a repetition.
+        # libcurl calls this before it writes a request, also on a reused
+        # connection and also when it resends the request by itself. A second
+        # call that follows a permitted send is therefore a resend.
         if transfer.cancelled:
             return pycurl.PREREQFUNC_ABORT
-        if transfer.sent and not call.resend:
-            transfer.repeated = True
+        if transfer.sent and not request.resend:
+            transfer.resend_blocked = True
             return pycurl.PREREQFUNC_ABORT
         key = (local_port, peer_ip, peer_port)
         if transfer.descriptor >= 0:
-            _remember(client, key, transfer.descriptor)
+            _record_socket(client, key, transfer.descriptor)
         elif _is_closed(client.sockets.get(key)):
             transfer.stale = True
             return pycurl.PREREQFUNC_ABORT
         try:
-            allowed = call.may_send is None or call.may_send()
+            allowed = request.may_send is None or request.may_send()
         except Exception as error:
-            # libcurl cannot pass an exception on; it would wait until the
-            # connect timeout.
-            transfer.fault = error
+            # An exception cannot propagate through libcurl, which would wait
+            # until the connect timeout.
+            transfer.check_error = error
             return pycurl.PREREQFUNC_ABORT
         if not allowed:
             transfer.withheld = True
@@ -266,54 +272,56 @@
         transfer.sent = True
         return pycurl.PREREQFUNC_OK
 
-    def prepare(curl: pycurl.Curl) -> None:
-        curl.setopt(pycurl.SOCKOPTFUNCTION, after_open)
-        curl.setopt(pycurl.PREREQFUNCTION, before_send)
-        # Keeps libcurl from two sigaction calls around each step. TCP_NODELAY
-        # and HTTP/1.1 are its defaults for http.
+    def configure_curl(curl: pycurl.Curl) -> None:
+        curl.setopt(pycurl.SOCKOPTFUNCTION, on_socket_open)
+        curl.setopt(pycurl.PREREQFUNCTION, on_before_send)
+        # Avoids two sigaction calls around each step of libcurl. TCP_NODELAY
+        # and HTTP/1.1 are libcurl's defaults for http URLs.
         curl.setopt(pycurl.NOSIGNAL, 1)
-        # Proxy settings of the environment do not apply inside the cell.
+        # Proxy settings from the environment do not apply within the cell.
         curl.setopt(pycurl.NOPROXY, "*")
         curl.setopt(pycurl.MAXAGE_CONN, MAX_IDLE_S)
-        if fresh:
+        if new_connection:
             curl.setopt(pycurl.FRESH_CONNECT, 1)
-        if not call.keep:
+        if not request.keep_alive:
             curl.setopt(pycurl.FORBID_REUSE, 1)
 
-    request = httpclient.HTTPRequest(
-        call.url,
-        method=call.method,
-        body=call.body,
-        headers=call.headers,
+    http_request = httpclient.HTTPRequest(
+        request.url,
+        method=request.method,
+        body=request.body,
+        headers=request.headers,
         connect_timeout=min(CONNECT_TIMEOUT_S, timeout_s),
         request_timeout=timeout_s,
         follow_redirects=False,
         decompress_response=False,
         user_agent=_USER_AGENT,
-        prepare_curl_callback=prepare,
+        prepare_curl_callback=configure_curl,
     )
     try:
-        response = await client.curl.fetch(request, raise_error=False)
+        response = await client.curl.fetch(http_request, raise_error=False)
     except asyncio.CancelledError:
         transfer.cancelled = True
         raise
     except Exception as error:
-        # Besides libcurl's errors these are errors of the request itself,
-        # such as a header that cannot be encoded.
+        # Either an error of libcurl or an invalid request, such as a header
+        # that cannot be encoded.
         reason = str(error)
         if transfer.withheld:
-            reason = "the caller may no longer send"
-        elif transfer.fault is not None:
-            reason = f"the check before the send failed: {transfer.fault!r}"
-        elif transfer.repeated:
+            reason = "sending is no longer permitted"
+        elif transfer.check_error is not None:
+            reason = (
+                f"the check before sending failed: {transfer.check_error!r}"
+            )
+        elif transfer.resend_blocked:
             reason = "the connection was closed without a response"
-        raise _failure(call.url, reason, sent=transfer.sent) from error
+        raise _make_error(request.url, reason, sent=transfer.sent) from error
     return Reply(
         status=response.code, headers=response.headers, body=response.body
     )
 
 
-def _remember(
+def _record_socket(
     client: HttpClient, key: tuple[int, str, int], descriptor: int
 ) -> None:
     client.sockets.pop(key, None)
@@ -323,11 +331,11 @@
 
 
 def _is_closed(descriptor: int | None) -> bool:
-    """Return whether an idle connection was closed by its peer.
+    """Return whether the peer has closed an idle connection.
 
-    libcurl itself checks a connection only when it was idle for a second. On
-    an idle connection anything that can be read is the close or the rest of
-    an earlier answer, and both make it unusable.
+    libcurl checks a connection only after a second of idleness. Readable data
+    on an idle connection is either a close or the rest of an earlier
+    response; both make the connection unusable.
     """
     if descriptor is None:
         return False
@@ -336,9 +344,9 @@
     return bool(poll.poll(0))
 
 
-def _failure(url: str, reason: str, *, sent: bool) -> errors.PlatformError:
+def _make_error(url: str, reason: str, *, sent: bool) -> errors.PlatformError:
     return errors.PlatformError(
         message=f"No response from {url}: {reason}.",
-        remedy="Check that the peer is up and reachable.",
+        remedy="Check that the peer is running and reachable.",
         sent=sent,
     )
--- a/chestnuttide/platform/_kv_store.py
+++ b/chestnuttide/platform/_kv_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: calls, formats and names of its fields."""
+"""Client of the platform's metadata store: calls and their encoding."""
 
 import base64
 import collections.abc
@@ -11,24 +11,24 @@
 from chestnuttide import errors
 from chestnuttide.platform import _http
 
-# The store's page: at most 32 entries in one transaction.
+# The store accepts at most 32 entries in one transaction.
 MAX_TRANSACTION_ENTRIES = 32
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Item:
-    """One key of the store, or its removal.
+    """A key with its value, or the removal of the key.
 
     Attributes
     ----------
     key : str
-        Name, at most 200 bytes.
+        Key, at most 200 bytes.
     value : bytes
-        Content; empty for a removal.
+        Value; empty for a removal.
     revision : int
-        Revision of the store at the last change of this key.
+        Store revision of the last change to the key.
     removed : bool
-        Whether the key was removed at that revision.
+        Whether the key was removed by that change.
     """
 
     key: str
@@ -39,16 +39,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Page:
-    """A part of a listing.
+    """One page of a range read.
 
     Attributes
     ----------
     items : tuple of Item
-        Items in order of their keys.
+        Items sorted by key.
     more : bool
-        Whether further items follow the last one.
+        Whether there are further items after the last one.
     store_revision : int
-        Revision of the store when the page was read.
+        Store revision at which the page was read.
     """
 
     items: tuple[Item, ...]
@@ -58,14 +58,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Changes:
-    """What a watch has returned.
+    """Items returned by a watch or by `read_all`.
 
     Attributes
     ----------
     items : tuple of Item
-        Changes in order of their revisions.
+        Changes sorted by revision; from `read_all`, items sorted by key.
     store_revision : int
-        Revision to continue from.
+        Store revision from which to continue watching.
     """
 
     items: tuple[Item, ...]
@@ -74,20 +74,20 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Transaction:
-    """Changes that the store makes all or not at all.
+    """Changes that the store applies atomically.
 
     Attributes
     ----------
     expect : dict of str to int
-        Revision that each key must have; 0 if it must not exist.
+        Expected revision of each key; 0 if the key must not exist.
     put : dict of str to bytes
-        New values.
+        Values to write.
     put_leased : dict of str to bytes
-        New values that end with `lease`.
+        Values to write that are removed when `lease` expires.
     remove : tuple of str
         Keys to remove.
     lease : int
-        Lease of the keys in `put_leased`.
+        Lease to which the keys in `put_leased` are attached.
     """
 
     expect: dict[str, int] = attrs.field(factory=dict)
@@ -98,55 +98,55 @@
 
 
 class StoreRefusedError(errors.StoreUnavailableError):
-    """The store refused a call with 429 or 503 and has done nothing."""
+    """The call was not sent or got 429 or 503; the store did nothing."""
 
     code = "store_refused"
 
 
 class ConditionError(errors.RevisionConflictError):
-    """A transaction's expectation does not hold; nothing was changed.
+    """An expected revision did not match; nothing was changed.
 
     Parameters
     ----------
     items : tuple of Item
-        Current state of the expected keys that exist.
+        Current items of those expected keys that exist.
     """
 
     def __init__(self, items: tuple[Item, ...]) -> None:
         super().__init__(
-            message="A key has another revision than expected.",
-            remedy="Read the key again and decide anew.",
+            message="A key does not have the expected revision.",
+            remedy="Read the key again and rebuild the transaction.",
         )
         self.items = items
 
 
 class HistoryLostError(errors.SchedulerError):
-    """The store no longer has the history after the watch's revision."""
+    """The store has discarded the history after the watched revision."""
 
     code = "history_lost"
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class KvStore:
-    """Connection to the store.
+    """Connection to the metadata store.
 
     Attributes
     ----------
     http : HttpClient
-        Client of the calls.
+        Client that sends the calls.
     address : str
         ``ip:port`` of the store.
     timeout_s : float
-        Limit of a call in seconds; a watch has its wait in addition.
+        Timeout of a call in seconds; a watch adds its wait time.
     count : function
-        Called with the kind and the outcome of each call.
+        Called with the kind and the outcome of each call, for metrics.
     failing_since : float
-        Monotonic time of the first failure since the last good answer; 0
-        while the store answers.
+        Monotonic time of the first failure since the last response; 0 while
+        calls succeed.
     answered_at : float
-        Monotonic time of the last good answer.
+        Monotonic time of the last response other than 429 or 503.
     silent : bool
-        Whether the last failure was a call without an answer.
+        Whether the last failure was a call without a response.
     """
 
     http: _http.HttpClient
@@ -158,36 +158,39 @@
     silent: bool = False
 
 
-async def read(store: KvStore, key: str) -> Item | None:
-    """Return the current item, or None; linearizable."""
+async def read_key(store: KvStore, key: str) -> Item | None:
+    """Return the item of a key or None, as a linearizable read."""
     reply = await _call(
         store, "get", "/v1/kv-key?" + urllib.parse.urlencode({"key": key})
     )
-    return None if reply.status == 404 else _item(_document(reply))
+    return (
+        None if reply.status == 404 else _decode_item(_require_success(reply))
+    )
 
 
 async def read_range(store: KvStore, prefix: str, *, after: str = "") -> Page:
-    """Return one page of the items whose key begins with a prefix."""
+    """Return one page of the items whose keys start with a prefix."""
     query = {"prefix": prefix}
     if after:
         query["after"] = after
-    document = _document(
+    document = _require_success(
         await _call(
             store, "range", "/v1/kv-range?" + urllib.parse.urlencode(query)
         )
     )
     return Page(
-        items=tuple(_item(each) for each in document["items"]),
+        items=tuple(_decode_item(item) for item in document["items"]),
         more=bool(document.get("hasMore")),
         store_revision=document["storeRevision"],
     )
 
 
 async def read_all(store: KvStore, prefix: str) -> Changes:
-    """Return all items of a prefix, with a revision to watch from.
+    """Return all items under a prefix and the revision to watch from.
 
-    The pages are no snapshot, so the revision is that of the first page:
-    later changes are seen by the watch, some of them for the second time.
+    The pages do not form a snapshot, so the returned revision is that of the
+    first page. A watch from there returns all later changes, including some
+    that the listing already contains.
     """
     page = await read_range(store, prefix)
     first_revision = page.store_revision
@@ -198,15 +201,15 @@
     return Changes(items=tuple(items), store_revision=first_revision)
 
 
-async def watch(
+async def watch_keys(
     store: KvStore, prefix: str, *, after_revision: int, wait_s: float
 ) -> Changes:
-    """Return the changes after a revision, once there are any.
+    """Wait for changes after a revision and return them.
 
     Raises
     ------
     HistoryLostError
-        If the store no longer has that history; list the prefix again.
+        If the store has discarded that history; list the prefix again.
     """
     query = urllib.parse.urlencode(
         {
@@ -215,17 +218,15 @@
             "waitMs": int(wait_s * 1000),
         }
     )
-    reply = await _call(
-        store, "watch", f"/v1/kv-watch?{query}", extra_s=wait_s
-    )
+    reply = await _call(store, "watch", f"/v1/kv-watch?{query}", wait_s=wait_s)
     if reply.status == 410:
         raise HistoryLostError(
-            message=f"The history after {after_revision} is gone.",
+            message=f"No history is left after revision {after_revision}.",
             remedy="List the prefix again.",
         )
-    document = _document(reply)
+    document = _require_success(reply)
     return Changes(
-        items=tuple(_item(each) for each in document["events"]),
+        items=tuple(_decode_item(item) for item in document["events"]),
         store_revision=document["storeRevision"],
     )
 
@@ -236,18 +237,18 @@
     *,
     may_send: collections.abc.Callable[[], bool] | None = None,
 ) -> int:
-    """Execute a transaction and return its revision.
+    """Execute a transaction and return the new store revision.
 
     Raises
     ------
     ConditionError
-        If an expectation does not hold.
+        If an expected revision does not match.
     errors.LeaseExpiredError
-        If the lease has ended.
+        If the lease has expired.
     StoreRefusedError
-        If the store refused the call; nothing was done.
+        If the store rejected the call or it was not sent; nothing changed.
     errors.StoreUnavailableError
-        If no answer came; the transaction may take effect later.
+        If no valid response arrived; the transaction may still take effect.
     """
     puts = [
         {"key": key, "value": base64.b64encode(value).decode()}
@@ -274,16 +275,19 @@
     )
     if reply.status == 412:
         raise ConditionError(
-            tuple(_item(each) for each in _load(reply).get("items", []))
+            tuple(
+                _decode_item(item)
+                for item in _decode_json(reply).get("items", [])
+            )
         )
     if reply.status == 404:
         raise _lease_expired(transaction.lease)
-    return int(_document(reply)["rev"])
+    return int(_require_success(reply)["rev"])
 
 
 async def grant_lease(store: KvStore, *, ttl_s: float) -> tuple[int, float]:
-    """Return a new lease and its time to live in seconds."""
-    document = _document(
+    """Create a lease; return its id and its time to live in seconds."""
+    document = _require_success(
         await _call(
             store, "lease", "/v1/kv-lease", body={"ttlMs": int(ttl_s * 1000)}
         )
@@ -292,21 +296,21 @@
 
 
 async def renew_lease(store: KvStore, lease: int) -> None:
-    """Restart the time to live of a lease.
+    """Renew a lease for its full time to live.
 
     Raises
     ------
     errors.LeaseExpiredError
-        If the lease has ended.
+        If the lease has expired.
     """
     reply = await _call(store, "renew", f"/v1/kv-keep/{lease}", body={})
     if reply.status == 404:
         raise _lease_expired(lease)
-    _document(reply)
+    _require_success(reply)
 
 
-async def end_lease(store: KvStore, lease: int) -> None:
-    """End a lease and remove its keys."""
+async def revoke_lease(store: KvStore, lease: int) -> None:
+    """Revoke a lease, which removes its keys."""
     await _call(
         store, "end_lease", f"/v1/kv-lease-end/{lease}", method="DELETE"
     )
@@ -320,13 +324,13 @@
     method: str = "",
     body: dict[str, object] | None = None,
     may_send: collections.abc.Callable[[], bool] | None = None,
-    extra_s: float = 0.0,
+    wait_s: float = 0.0,
 ) -> _http.Reply:
     try:
         reply = await _http.fetch(
             store.http,
             url=f"http://{store.address}{path}",
-            timeout_s=store.timeout_s + extra_s,
+            timeout_s=store.timeout_s + wait_s,
             method=method,
             body=None if body is None else json.dumps(body).encode(),
             headers={"Content-Type": "application/json"},
@@ -334,20 +338,20 @@
         )
     except errors.PlatformError as error:
         store.count(kind, "unanswered" if error.sent else "unsent")
-        _note_failure(store, silent=True)
-        kind_of_error = (
+        _record_failure(store, silent=True)
+        error_class = (
             errors.StoreUnavailableError if error.sent else StoreRefusedError
         )
-        raise kind_of_error(
-            message=f"The store did not answer: {error.message}",
-            remedy="Read back what was written before repeating it.",
+        raise error_class(
+            message=f"The store did not respond: {error.message}",
+            remedy="Read the written keys back before retrying.",
         ) from error
     store.count(kind, str(reply.status))
     if reply.status in (429, 503):
-        _note_failure(store, silent=False)
+        _record_failure(store, silent=False)
         raise StoreRefusedError(
-            message=f"The store refused a call with {reply.status}.",
-            remedy="Try again later.",
+            message=f"The store rejected a call with status {reply.status}.",
+            remedy="Retry later.",
         )
     store.failing_since = 0.0
     store.answered_at = time.monotonic()
@@ -355,31 +359,31 @@
     return reply
 
 
-def _note_failure(store: KvStore, *, silent: bool) -> None:
+def _record_failure(store: KvStore, *, silent: bool) -> None:
     store.failing_since = store.failing_since or time.monotonic()
     store.silent = silent
 
 
-def _load(reply: _http.Reply) -> dict[str, object]:
+def _decode_json(reply: _http.Reply) -> dict[str, object]:
     try:
         return json.loads(reply.body)
     except ValueError as error:
         raise errors.StoreUnavailableError(
-            message="The store's answer is no JSON.",
-            remedy="Read back what was written before repeating it.",
+            message="The store's response is not valid JSON.",
+            remedy="Read the written keys back before retrying.",
         ) from error
 
 
-def _document(reply: _http.Reply) -> dict[str, object]:
+def _require_success(reply: _http.Reply) -> dict[str, object]:
     if reply.status != 200:
         raise errors.StoreUnavailableError(
-            message=f"The store answered {reply.status}.",
-            remedy="Compare the call with the store's page.",
+            message=f"The store returned status {reply.status}.",
+            remedy="Compare the call with the store's specification.",
         )
-    return _load(reply)
+    return _decode_json(reply)
 
 
-def _item(document: dict[str, object]) -> Item:
+def _decode_item(document: dict[str, object]) -> Item:
     return Item(
         key=document["key"],
         value=base64.b64decode(document.get("value", "")),
@@ -390,6 +394,6 @@
 
 def _lease_expired(lease: int) -> errors.LeaseExpiredError:
     return errors.LeaseExpiredError(
-        message=f"Lease {lease} has ended.",
-        remedy="Take a new lease and write its keys again.",
+        message=f"Lease {lease} has expired.",
+        remedy="Create a new lease and write its keys again.",
     )
--- a/chestnuttide/platform/_target_client.py
+++ b/chestnuttide/platform/_target_client.py
@@ -85,7 +85,7 @@
             status,
             url=f"http://{address}{path}",
             timeout_s=STATUS_TIMEOUT_S,
-            keep=False,
+            keep_alive=False,
         )
         if reply.status != 200:
             raise errors.PlatformError(
--- a/chestnuttide/platform/_run_orders.py
+++ b/chestnuttide/platform/_worker_commands.py
@@ -1,4 +1,4 @@
-"""Orders to workers: start, stop, hold and pace a run."""
+"""Calls to workers: poll them, and start, stop and throttle runs."""
 
 import collections.abc
 import json
@@ -10,8 +10,8 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class RunRow:
-    """A run that a worker lists as running.
+class RunReport:
+    """An active run, as its worker reports it.
 
     Attributes
     ----------
@@ -20,12 +20,13 @@
     run : int
         Number of the run.
     checkpoint : str
-        Newest saved progress; empty if there is none.
+        Latest checkpoint; empty if there is none.
     percent : float
-        Progress; of a lasting task 100 when it serves.
+        Progress in percent; a long-running task reports 100 once it serves
+        requests.
     measure : float
-        Tail latency in ms of a serving task, else cpu in use, over the last
-        half second.
+        Over the last half second: tail latency in ms if the task serves
+        requests, else its CPU usage.
     """
 
     task: str
@@ -36,22 +37,22 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class EndRow:
-    """A run that a worker lists as ended.
+class Completion:
+    """A completed run, as its worker reports it.
 
     Attributes
     ----------
     number : int
-        Number of the end in this lifetime of the worker, from 1.
+        Completion number, counted from 1 in each incarnation of the worker.
     task : str
         Name of the task.
     run : int
         Number of the run.
     how : str
-        ``done``, ``failed``, ``stopped``, ``lapsed``, ``broken`` or
-        ``alone``.
+        Result of the run: ``done``, ``failed``, ``stopped``, ``lapsed``,
+        ``broken`` or ``alone``.
     checkpoint : str
-        Saved progress; empty if there is none.
+        Last checkpoint; empty if there is none.
     """
 
     number: int
@@ -62,39 +63,39 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class Look:
-    """A worker's lists of runs.
+class PollReply:
+    """A worker's reply to a poll.
 
     Attributes
     ----------
     clock_ms : int
-        The worker's own steady clock.
+        Monotonic clock of the worker.
     born_ms : int
-        Start of its lifetime.
-    running : tuple of RunRow
-        All that runs.
-    ended : tuple of EndRow
-        Ends that were not yet acknowledged.
+        Start time of the worker's incarnation.
+    running : tuple of RunReport
+        All runs that are running.
+    ended : tuple of Completion
+        Completions that have not been acknowledged yet.
     """
 
     clock_ms: int
     born_ms: int
-    running: tuple[RunRow, ...]
-    ended: tuple[EndRow, ...]
+    running: tuple[RunReport, ...]
+    ended: tuple[Completion, ...]
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class OrderReply:
-    """A worker's answer to a start, stop or pace.
+class CommandReply:
+    """A worker's reply to a start, stop or throttle command.
 
     Attributes
     ----------
     status : int
         HTTP status.
     reason : str
-        Why the order was rejected, with status 409.
+        Why the command was rejected; set with status 409.
     clock_ms : int or None
-        The worker's steady clock, if it was told.
+        Monotonic clock of the worker, if the reply contains it.
     """
 
     status: int
@@ -104,12 +105,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WorkerAddress:
-    """Where a lifetime of a worker is reached.
+    """Address of one incarnation of a worker.
 
     Attributes
     ----------
     id : str
-        Id that the worker must still have.
+        Expected worker id, sent in the ``Expect-Instance`` header.
     address : str
         ``ip:port``.
     """
@@ -118,7 +119,7 @@
     address: str
 
 
-async def hold(
+async def poll_worker(
     http: _http.HttpClient,
     worker: WorkerAddress,
     *,
@@ -128,39 +129,43 @@
     wait_s: float,
     timeout_s: float,
     may_send: collections.abc.Callable[[], bool],
-) -> Look | OrderReply:
-    """Extend the lease of all runs and return the worker's lists.
+) -> PollReply | CommandReply:
+    """Renew the lease of a worker's runs and return their state.
 
     Parameters
     ----------
     http : HttpClient
-        Client of the calls.
+        Client that sends the request.
     worker : WorkerAddress
         The worker.
     fence : int
-        Fencing token of the caller.
+        Fencing token of the owner.
     acknowledged_end : int
-        Ends up to this number are stored, and forgotten by the worker.
+        Acknowledges all completions up to this number, which must be stored;
+        the worker then forgets them.
     deadline_ms : int or None
-        New end of the lease on the worker's clock.
+        New expiry of the lease on the worker's clock; None leaves it.
     wait_s : float
-        Time that the worker waits for an end, at most 2 s.
+        How long the worker waits for a completion before it replies, at most
+        2 s.
     timeout_s : float
-        Limit of the call in addition to `wait_s`.
+        Timeout of the call, in addition to `wait_s`.
     may_send : function
-        Checked right before the request is sent.
+        Called right before the request is sent; it is not sent if the result
+        is False.
 
     Returns
     -------
-    Look or OrderReply
-        An `OrderReply` if the worker rejected the call.
+    PollReply or CommandReply
+        A `CommandReply` if the worker rejected the call.
 
     Raises
     ------
     errors.PlatformError
-        If no complete answer came.
+        If no complete reply arrived.
     """
-    # "seenUpto" acknowledges ends for good; it is no read position.
+    # "seenUpto" acknowledges completions permanently: they are not returned
+    # again, so it cannot be used as a read position.
     body: dict[str, object] = {"fence": fence, "seenUpto": acknowledged_end}
     if deadline_ms is not None:
         body["deadlineMs"] = deadline_ms
@@ -170,15 +175,15 @@
         http, worker, "/v1/hold", body, timeout_s + wait_s, may_send
     )
     if reply.status != 200:
-        return _order_reply(reply)
+        return _decode_command_reply(reply)
     try:
         document = json.loads(reply.body)
-        return Look(
+        return PollReply(
             clock_ms=int(document["clockMs"]),
             born_ms=int(document.get("born", 0)),
-            running=tuple(_run_row(row) for row in document["running"]),
+            running=tuple(_decode_run(row) for row in document["running"]),
             ended=tuple(
-                EndRow(
+                Completion(
                     number=row[0],
                     task=row[1],
                     run=row[2],
@@ -190,13 +195,13 @@
         )
     except (KeyError, TypeError, ValueError, IndexError) as error:
         raise errors.PlatformError(
-            message=f"The lists of worker {worker.id} are unreadable.",
-            remedy="Compare the answer with the worker's page.",
+            message=f"The poll reply of worker {worker.id} is malformed.",
+            remedy="Compare the reply with the worker's specification.",
             sent=True,
         ) from error
 
 
-async def start(
+async def start_run(
     http: _http.HttpClient,
     worker: WorkerAddress,
     *,
@@ -209,8 +214,8 @@
     ticket: str,
     timeout_s: float,
     may_send: collections.abc.Callable[[], bool],
-) -> OrderReply:
-    """Order a run; see `hold` for the parameters and errors."""
+) -> CommandReply:
+    """Start a run; parameters and errors are those of `poll_worker`."""
     body: dict[str, object] = {
         "task": task,
         "run": run,
@@ -222,12 +227,12 @@
         body["checkpointed"] = checkpoint
     if ticket:
         body["ticket"] = ticket
-    return _order_reply(
+    return _decode_command_reply(
         await _post(http, worker, "/v1/run-start", body, timeout_s, may_send)
     )
 
 
-async def stop(
+async def stop_run(
     http: _http.HttpClient,
     worker: WorkerAddress,
     *,
@@ -236,15 +241,15 @@
     fence: int,
     timeout_s: float,
     may_send: collections.abc.Callable[[], bool],
-) -> OrderReply:
-    """End a run, or reject it if it begins later; see `hold`."""
+) -> CommandReply:
+    """Stop a run, or prevent it from starting later; see `poll_worker`."""
     body = {"task": task, "run": run, "fence": fence}
-    return _order_reply(
+    return _decode_command_reply(
         await _post(http, worker, "/v1/run-stop", body, timeout_s, may_send)
     )
 
 
-async def pace(
+async def throttle_run(
     http: _http.HttpClient,
     worker: WorkerAddress,
     *,
@@ -254,16 +259,16 @@
     fence: int,
     timeout_s: float,
     may_send: collections.abc.Callable[[], bool],
-) -> OrderReply:
-    """Let a run work at a share of its speed; see `hold`."""
+) -> CommandReply:
+    """Limit a run to a percentage of its speed; see `poll_worker`."""
     body = {"task": task, "run": run, "percent": percent, "fence": fence}
-    return _order_reply(
+    return _decode_command_reply(
         await _post(http, worker, "/v1/pace", body, timeout_s, may_send)
     )
 
 
-def _run_row(row: list[object]) -> RunRow:
-    return RunRow(
+def _decode_run(row: list[object]) -> RunReport:
+    return RunReport(
         task=row[0],
         run=row[1],
         checkpoint=row[2],
@@ -272,13 +277,13 @@
     )
 
 
-def _order_reply(reply: _http.Reply) -> OrderReply:
+def _decode_command_reply(reply: _http.Reply) -> CommandReply:
     try:
         document = json.loads(reply.body) if reply.body else {}
     except ValueError:
-        # The status alone decides; a body that is no JSON adds nothing.
+        # The status decides; a body that is not JSON is ignored.
         document = {}
-    return OrderReply(
+    return CommandReply(
         status=reply.status,
         reason=document.get("reason", ""),
         clock_ms=document.get("clockMs"),
