--- a/chestnuttide/platform/_advisor.py
+++ b/chestnuttide/platform/_advisor.py
@@ -1,4 +1,4 @@
-"""The policy advisor, which says which workers may run a step."""
+"""Client of the policy advisor, which decides where a step may run."""
 
 import json
 
@@ -7,24 +7,24 @@
 from chestnuttide import errors
 from chestnuttide.platform import _http
 
-# The advisor takes at most this many workers in one call.
+# The advisor accepts at most this many workers in one query.
 MAX_WORKERS_PER_CALL = 100
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Tickets:
-    """Tickets of the workers that may run a step.
+    """Tickets that permit workers to run a step.
 
     Attributes
     ----------
     by_worker : dict of str to str
-        Ticket by worker id; workers that may not run the step are absent.
+        Ticket by worker id, only for workers that may run the step.
     """
 
     by_worker: dict[str, str]
 
 
-async def ask(
+async def query_advisor(
     http: _http.HttpClient,
     address: str,
     *,
@@ -32,12 +32,12 @@
     workers: tuple[str, ...],
     timeout_s: float,
 ) -> Tickets:
-    """Return the tickets for a step.
+    """Query the advisor for the tickets of a step.
 
     Raises
     ------
     errors.PlatformError
-        If the advisor refused the call or did not answer.
+        If the advisor rejected the query or did not respond.
     """
     reply = await _http.fetch(
         http,
@@ -48,8 +48,8 @@
     )
     if reply.status != 200:
         raise errors.PlatformError(
-            message=f"The advisor refused a call with {reply.status}.",
-            remedy="Ask again later or from another instance.",
+            message=f"The advisor returned status {reply.status}.",
+            remedy="Retry later or from another instance.",
             sent=True,
         )
     try:
@@ -57,7 +57,7 @@
         return Tickets(by_worker={row[0]: row[1] for row in rows})
     except (KeyError, IndexError, TypeError, ValueError) as error:
         raise errors.PlatformError(
-            message=f"The advisor's answer is unreadable: {error!r}.",
-            remedy="Compare the answer with the advisor's page.",
+            message=f"The advisor's response is malformed: {error!r}.",
+            remedy="Compare the response with the advisor's specification.",
             sent=True,
         ) from error
--- a/chestnuttide/platform/_instance_list_client.py
+++ b/chestnuttide/platform/_instance_list_client.py
@@ -7,7 +7,7 @@
 from chestnuttide.platform import _instance_list_wire
 from chestnuttide.platform import _ports
 
-# A daemon polls once at a time.
+# A daemon makes one poll at a time.
 MAX_CLIENTS: typing.Final[int] = 4
 
 
@@ -17,22 +17,22 @@
     timeout_s: float,
     http_client: _http.HttpClient | None = None,
 ) -> _ports.InstanceList:
-    """Return the instance list at an address.
+    """Return a client for the instance list at an address.
 
     Parameters
     ----------
     address : str
         ``ip:port`` of the list.
     timeout_s : float
-        Limit of a call in seconds.
+        Timeout of a call in seconds.
     http_client : HttpClient, optional
-        Client to use in place of a new one.
+        Client to use instead of a new one.
 
     Returns
     -------
     InstanceList
-        The functions of the port. An undecodable answer and any status but
-        200 raise `errors.PlatformError`.
+        The client. A malformed response or any status other than 200 raises
+        `errors.PlatformError`.
     """
     client = http_client or _http.make_client(max_clients=MAX_CLIENTS)
 
@@ -48,7 +48,7 @@
         )
         if reply.status != 200:
             raise errors.PlatformError(
-                message=f"The instance list answered {reply.status}.",
+                message=f"The instance list returned status {reply.status}.",
                 remedy="Keep the last list and poll again.",
                 sent=True,
             )
--- a/chestnuttide/platform/_instance_list_wire.py
+++ b/chestnuttide/platform/_instance_list_wire.py
@@ -1,4 +1,4 @@
-"""Encoding of the instance list: HTTP GET with a JSON answer."""
+"""Encoding of calls to the instance list: HTTP GET that returns JSON."""
 
 import typing
 from urllib import parse
@@ -11,7 +11,7 @@
 
 
 def encode_query(after_revision: int, kind: str) -> str:
-    """Return path and query of a call; an empty kind means all kinds."""
+    """Return the path and query of a call; an empty kind means all kinds."""
     query: dict[str, object] = {"after": after_revision}
     if kind:
         query["kind"] = str(kind)
@@ -19,17 +19,17 @@
 
 
 def encode_changes(changes: _ports.InstanceChanges) -> bytes:
-    """Return the body of an answer."""
+    """Return the body of a response."""
     return _json_wire.dump(changes)
 
 
 def decode_changes(body: bytes) -> _ports.InstanceChanges:
-    """Return the changes in a body.
+    """Return the changes encoded in a body.
 
     Raises
     ------
     ProtocolError
-        The body is malformed.
+        If the body is malformed.
     """
     return _json_wire.from_plain(_json_wire.load(body), _ports.InstanceChanges)
 
@@ -40,6 +40,6 @@
     Raises
     ------
     ProtocolError
-        The list is malformed.
+        If the list is malformed.
     """
     return _json_wire.from_plain(plain, list[model.Instance])
--- a/chestnuttide/platform/_json_wire.py
+++ b/chestnuttide/platform/_json_wire.py
@@ -1,4 +1,4 @@
-"""JSON form of the shared values, for the instance list and the workers."""
+"""JSON encoding of attrs classes, shared by the other wire modules."""
 
 import json
 import typing
@@ -13,39 +13,39 @@
 
 
 def dump(value: object) -> bytes:
-    """Return the JSON form of a value, which may hold attrs values."""
+    """Return the JSON encoding of a value that may contain attrs objects."""
     return json.dumps(to_plain(value), separators=(",", ":")).encode()
 
 
 def to_plain(value: object) -> typing.Any:
-    """Return a value with its attrs values turned into dicts."""
+    """Return a value with its attrs objects converted to dicts."""
     return _CONVERTER.unstructure(value)
 
 
 def load(body: bytes) -> dict[str, typing.Any]:
-    """Return the JSON object in a body.
+    """Return the JSON object encoded in a body.
 
     Raises
     ------
     ProtocolError
-        The body is no JSON object.
+        If the body is not a JSON object.
     """
     try:
         fields = json.loads(body)
     except ValueError as error:
         raise malformed(str(error)) from error
     if not isinstance(fields, dict):
-        raise malformed("the body is no object")
+        raise malformed("the body is not an object")
     return fields
 
 
 def from_plain(plain: object, kind: type[_Value]) -> _Value:
-    """Return the value of a kind in plain dicts and lists.
+    """Return the value of a type that plain dicts and lists represent.
 
     Raises
     ------
     ProtocolError
-        A field is missing or has another type.
+        If a field is missing or has the wrong type.
     """
     try:
         return _CONVERTER.structure(plain, kind)
@@ -54,8 +54,8 @@
 
 
 def malformed(reason: str) -> errors.ProtocolError:
-    """Return the error for a message that cannot be decoded."""
+    """Return the error for a malformed message."""
     return errors.ProtocolError(
-        message=f"A message of the platform cannot be decoded: {reason}.",
-        remedy="Check the version and the address of the peer.",
+        message=f"A message of the platform is malformed: {reason}.",
+        remedy="Check the version and address of the peer.",
     )
--- a/chestnuttide/platform/_kv_store.py
+++ b/chestnuttide/platform/_kv_store.py
@@ -221,7 +221,7 @@
     reply = await _call(store, "watch", f"/v1/kv-watch?{query}", wait_s=wait_s)
     if reply.status == 410:
         raise HistoryLostError(
-            message=f"No history is left after revision {after_revision}.",
+            message=f"The history after {after_revision} has been discarded.",
             remedy="List the prefix again.",
         )
     document = _require_success(reply)
@@ -394,6 +394,6 @@
 
 def _lease_expired(lease: int) -> errors.LeaseExpiredError:
     return errors.LeaseExpiredError(
-        message=f"Lease {lease} has expired.",
+        message=f"Lease {lease} no longer exists.",
         remedy="Create a new lease and write its keys again.",
     )
--- a/chestnuttide/platform/_ports.py
+++ b/chestnuttide/platform/_ports.py
@@ -1,7 +1,6 @@
-"""What the system expects of the platform, as records of functions.
+"""Interfaces to the platform, as classes whose attributes are functions.
 
-A record is filled by a real client in the daemons and by a stand-in or a
-plain closure in tests.
+Daemons fill them with real clients, tests with stand-ins or closures.
 """
 
 import collections.abc
@@ -13,18 +12,18 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Entry:
-    """A key of the store with its value.
+    """A key in the store with its value.
 
     Attributes
     ----------
     key : str
-        The key.
+        Key.
     value : bytes or None
-        The value; None in a watch when the key was deleted.
+        Value; None in a watch result if the key was deleted.
     revision : int
-        Store revision of the last write of the key.
+        Store revision of the last write to the key.
     write_id : str
-        Id that the writer gave to the last write.
+        Id of the last write, chosen by the writer.
     """
 
     key: str
@@ -35,14 +34,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WatchResult:
-    """Changes below a prefix.
+    """Changes to the keys under a prefix.
 
     Attributes
     ----------
     revision : int
         Store revision up to which the changes are complete.
     entries : tuple of Entry
-        The changed keys, oldest first; empty when the wait ended first.
+        Changed keys, oldest change first; empty if the wait timed out.
     """
 
     revision: int
@@ -53,19 +52,19 @@
 class Store:
     """The platform's key-value store.
 
-    Every function raises `errors.StoreUnavailableError` when no answer came,
-    in which case a write may have taken effect.
+    Every function raises `errors.StoreUnavailableError` if no response
+    arrived, in which case a write may have taken effect.
 
     Attributes
     ----------
     get : function
         ``get(key)`` returns the entry or None.
     list_range : function
-        ``list_range(prefix)`` returns the entries in order of keys.
+        ``list_range(prefix)`` returns the entries sorted by key.
     write : function
         ``write(key, value, expected_revision, write_id, lease_id)`` returns
-        the new revision. `expected_revision` 0 means that the key must be
-        absent. `lease_id` 0 means no lease. Raises
+        the new revision. `expected_revision` 0 means that the key must not
+        exist. `lease_id` 0 means no lease. Raises
         `errors.RevisionConflictError` or `errors.LeaseExpiredError`.
     delete : function
         ``delete(key, expected_revision)``; raises
@@ -108,14 +107,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class InstanceChanges:
-    """Changes of the platform's instance list.
+    """Changes to the platform's instance list.
 
     Attributes
     ----------
     revision : int
         Revision of the list up to which the changes are complete.
     instances : tuple of Instance
-        The instances that changed.
+        Instances that changed.
     """
 
     revision: int
@@ -124,7 +123,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StartOutcome:
-    """What a worker answered to the start of one attempt.
+    """A worker's response to the start of one attempt.
 
     Attributes
     ----------
@@ -132,7 +131,7 @@
         The attempt.
     outcome : str
         ``started``, ``running``, ``ended``, ``no_capacity`` or ``expired``;
-        an expired start has not started anything and never will.
+        an expired start has had no effect and never will.
     """
 
     attempt: model.Attempt
@@ -141,16 +140,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class TaskStart:
-    """The start of one attempt on a worker.
+    """Request to start one attempt on a worker.
 
     Attributes
     ----------
     attempt : Attempt
         The attempt.
     resources : Resources
-        What the worker reserves for it.
+        Resources that the worker reserves for the attempt.
     payload : bytes
-        JSON object that says what to run.
+        JSON object that specifies what to run.
     """
 
     attempt: model.Attempt
@@ -160,17 +159,18 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SyncResult:
-    """What a worker answered to a sync.
+    """A worker's response to a sync.
 
     Attributes
     ----------
     sequence : int
-        Number of the worker's last event.
+        Sequence number of the worker's last event.
     reports : tuple of AttemptReport, or None
-        Live attempts and ended ones that were not acknowledged; None if the
-        caller has them already, because their digest is the one it named.
+        Live attempts, and ended attempts that have not been acknowledged;
+        None if their digest equals the one that the sync named, because the
+        owner then has them already.
     digest : str
-        Digest of the reports, to be named in the next sync.
+        Digest of the reports, to be sent with the next sync.
     """
 
     sequence: int
@@ -180,10 +180,10 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WorkerAgent:
-    """The agents of workers; `address` is ``ip:port``.
+    """Agents of workers; `address` is ``ip:port``.
 
-    Every function raises `errors.PlatformError` when no answer came and
-    `errors.DeposedError` when the worker has seen a higher epoch.
+    Every function raises `errors.PlatformError` if no response arrived and
+    `errors.DeposedError` if the worker has seen a higher epoch.
 
     Attributes
     ----------
@@ -197,7 +197,7 @@
         ``stop(address, epoch, attempts, checkpoint)``.
     throttle : function
         ``throttle(address, epoch, attempts, share)`` limits the attempts to
-        a share of their processor time, 0 to 1.
+        a share of their CPU time, 0 to 1.
     """
 
     start: collections.abc.Callable[
@@ -228,7 +228,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class TargetAnswer:
-    """A target's whole answer.
+    """The complete response of a target.
 
     Attributes
     ----------
@@ -237,9 +237,9 @@
     content_type : str
         Media type of `body`.
     body : bytes
-        The whole body.
+        Complete body.
     leaving : bool
-        Whether the target said that it is leaving and ran nothing.
+        Whether the target signalled that it is leaving and ran nothing.
     """
 
     status: int
@@ -250,14 +250,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Targets:
-    """The targets of services; `address` is ``ip:port``.
+    """Targets of services; `address` is ``ip:port``.
 
     Attributes
     ----------
     work : function
         ``work(address, request_id, attempt, epoch, payload, timeout_s,
         may_send)`` returns a `TargetAnswer`. `may_send()` is called
-        immediately before the first byte is sent; when it returns False
+        immediately before the first byte is sent; if it returns False,
         nothing is sent. Raises `errors.PlatformError`, whose `sent` tells
         whether any byte may have reached the target.
     busy_slots : function
@@ -283,7 +283,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class InstanceList:
-    """The platform's lagging list of instances.
+    """The platform's list of instances, which lags behind their state.
 
     Attributes
     ----------
--- a/chestnuttide/platform/_store_client.py
+++ b/chestnuttide/platform/_store_client.py
@@ -8,12 +8,12 @@
 from chestnuttide.platform import _ports
 from chestnuttide.platform import _store_wire
 
-# One instance has a few watches open and its calls are short.
+# An instance keeps a few watches open, and its other calls are short.
 MAX_CLIENTS: typing.Final[int] = 128
 
-# libcurl may repeat these by itself when a reused connection turns out to be
-# closed. A repeated write would fail its own compare-and-swap.
-_REPEATABLE: typing.Final[frozenset[str]] = frozenset(
+# libcurl may resend these calls if a reused connection turns out to be closed.
+# A resent write would fail its own compare-and-swap.
+_RESENDABLE: typing.Final[frozenset[str]] = frozenset(
     {"get", "range", "watch"}
 )
 
@@ -30,30 +30,30 @@
     client_id: str = "",
     http_client: _http.HttpClient | None = None,
 ) -> _ports.Store:
-    """Return the store at an address.
+    """Return a client for the store at an address.
 
     Parameters
     ----------
     address : str
         ``ip:port`` of the store.
     timeout_s : float
-        Limit of a call in seconds; a watch has its wait in addition.
+        Timeout of a call in seconds; a watch adds its wait time.
     call_counts : dict of str to int, or function
-        Counts the calls by kind: a dict is increased, a function is called
-        with the kind. Kinds are the keys of `_store_wire.PATHS`.
+        Counts the calls by kind: either a dict of counters or a function
+        called with the kind. Kinds are the keys of `_store_wire.PATHS`.
     client_id : str
-        Instance id, sent as ``X-Client``.
+        Instance id, sent in the ``X-Client`` header.
     http_client : HttpClient, optional
-        Client to use in place of a new one.
+        Client to use instead of a new one.
 
     Returns
     -------
     Store
-        The functions of the port. A timeout, a closed connection and an
-        undecodable answer raise `errors.StoreUnavailableError`.
+        The client. A timeout, a closed connection or a malformed response
+        raises `errors.StoreUnavailableError`.
     """
     client = http_client or _http.make_client(max_clients=MAX_CLIENTS)
-    count = _make_count(call_counts)
+    count_call = _make_counter(call_counts)
     headers = {"Content-Type": _store_wire.CONTENT_TYPE}
     if client_id:
         headers[_store_wire.CLIENT_HEADER] = client_id
@@ -61,7 +61,7 @@
     async def call(
         kind: str, fields: dict[str, object], wait_s: float = 0.0
     ) -> dict[str, object]:
-        count(kind)
+        count_call(kind)
         try:
             reply = await _http.fetch(
                 client,
@@ -69,19 +69,21 @@
                 timeout_s=timeout_s + wait_s,
                 body=_store_wire.encode(fields),
                 headers=headers,
-                resend=kind in _REPEATABLE,
+                resend=kind in _RESENDABLE,
             )
             return _store_wire.decode_response(reply.status, reply.body)
         except (errors.PlatformError, errors.ProtocolError) as error:
             raise _store_wire.unavailable(error.message) from error
 
     async def get(key: str) -> _ports.Entry | None:
-        found = (await call("get", {"key": key}))["entry"]
-        return None if found is None else _store_wire.decode_entry(found)
+        fields = (await call("get", {"key": key}))["entry"]
+        return None if fields is None else _store_wire.decode_entry(fields)
 
     async def list_range(prefix: str) -> list[_ports.Entry]:
-        found = await call("range", {"prefix": prefix})
-        return [_store_wire.decode_entry(entry) for entry in found["entries"]]
+        response = await call("range", {"prefix": prefix})
+        return [
+            _store_wire.decode_entry(entry) for entry in response["entries"]
+        ]
 
     async def write(
         key: str,
@@ -90,7 +92,7 @@
         write_id: str,
         lease_id: int,
     ) -> int:
-        written = await call(
+        response = await call(
             "write",
             {
                 "key": key,
@@ -100,7 +102,7 @@
                 "lease_id": lease_id,
             },
         )
-        return written["revision"]
+        return response["revision"]
 
     async def delete(key: str, expected_revision: int) -> None:
         await call(
@@ -119,7 +121,7 @@
     async def watch(
         prefix: str, after_revision: int, wait_s: float
     ) -> _ports.WatchResult:
-        changed = await call(
+        response = await call(
             "watch",
             {
                 "prefix": prefix,
@@ -129,9 +131,10 @@
             wait_s,
         )
         return _ports.WatchResult(
-            revision=changed["revision"],
+            revision=response["revision"],
             entries=tuple(
-                _store_wire.decode_entry(entry) for entry in changed["entries"]
+                _store_wire.decode_entry(entry)
+                for entry in response["entries"]
             ),
         )
 
@@ -147,7 +150,7 @@
     )
 
 
-def _make_count(
+def _make_counter(
     call_counts: CallCounts,
 ) -> collections.abc.Callable[[str], object]:
     if not isinstance(call_counts, dict):
--- a/chestnuttide/platform/_store_wire.py
+++ b/chestnuttide/platform/_store_wire.py
@@ -1,4 +1,4 @@
-"""Encoding of the store's calls: HTTP POST with CBOR maps."""
+"""Encoding of calls to the store: HTTP POST with CBOR maps."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 CONTENT_TYPE: typing.Final[str] = "application/cbor"
 
-# Header with the instance id of the client.
+# Header that carries the instance id of the client.
 CLIENT_HEADER: typing.Final[str] = "X-Client"
 
 PATHS: typing.Final[dict[str, str]] = {
@@ -29,29 +29,29 @@
 
 
 def encode(fields: dict[str, object]) -> bytes:
-    """Return the CBOR form of a request or a response."""
+    """Return the CBOR encoding of a request or a response."""
     return cbor2.dumps(fields)
 
 
 def decode(body: bytes) -> dict[str, object]:
-    """Return the map in a body.
+    """Return the map encoded in a body.
 
     Raises
     ------
     ProtocolError
-        The body is no CBOR map.
+        If the body is not a CBOR map.
     """
     try:
         fields = cbor2.loads(body)
     except (cbor2.CBORDecodeError, ValueError, EOFError) as error:
         raise _malformed(str(error)) from error
     if not isinstance(fields, dict):
-        raise _malformed("the body is no map")
+        raise _malformed("the body is not a map")
     return fields
 
 
 def encode_entry(entry: _ports.Entry) -> dict[str, object]:
-    """Return the map of an entry."""
+    """Return an entry as a map."""
     return {
         "key": entry.key,
         "value": entry.value,
@@ -61,12 +61,12 @@
 
 
 def decode_entry(fields: dict[str, object]) -> _ports.Entry:
-    """Return the entry in a map.
+    """Return the entry that a map represents.
 
     Raises
     ------
     ProtocolError
-        A field is missing.
+        If a field is missing.
     """
     try:
         return _ports.Entry(
@@ -80,7 +80,7 @@
 
 
 def encode_error(error: errors.SchedulerError) -> tuple[int, bytes]:
-    """Return status and body for an error of the store."""
+    """Return the HTTP status and body that report an error of the store."""
     if isinstance(error, errors.RevisionConflictError):
         return 409, encode({"code": REVISION_CONFLICT})
     if isinstance(error, errors.LeaseExpiredError):
@@ -89,16 +89,16 @@
 
 
 def decode_response(status: int, body: bytes) -> dict[str, object]:
-    """Return the map of a successful response.
+    """Return the map in a successful response.
 
     Raises
     ------
     RevisionConflictError, LeaseExpiredError
-        The store's answer says so.
+        If the response reports that error.
     StoreUnavailableError
-        Any other status than 200.
+        If the status is any other than 200.
     ProtocolError
-        The body is no CBOR map.
+        If the body is not a CBOR map.
     """
     if status == 200:
         return decode(body)
@@ -114,29 +114,29 @@
 def revision_conflict() -> errors.RevisionConflictError:
     """Return the error for a failed compare-and-swap."""
     return errors.RevisionConflictError(
-        message="The key has another revision than the expected one.",
+        message="The key does not have the expected revision.",
         remedy="Read the key again before the next write.",
     )
 
 
 def lease_expired() -> errors.LeaseExpiredError:
-    """Return the error for a lease that does not exist any more."""
+    """Return the error for a lease that no longer exists."""
     return errors.LeaseExpiredError(
         message="The lease has expired or was revoked.",
-        remedy="Ask for a new lease.",
+        remedy="Request a new lease.",
     )
 
 
 def unavailable(reason: str) -> errors.StoreUnavailableError:
-    """Return the error for a call without an answer."""
+    """Return the error for a call without a valid response."""
     return errors.StoreUnavailableError(
-        message=f"The store did not answer: {reason}.",
-        remedy="Read the key back before a write is repeated.",
+        message=f"The store is unavailable: {reason}.",
+        remedy="Read the key back before retrying a write.",
     )
 
 
 def _malformed(reason: str) -> errors.ProtocolError:
     return errors.ProtocolError(
-        message=f"A message of the store cannot be decoded: {reason}.",
+        message=f"A message of the store is malformed: {reason}.",
         remedy="Check that the address is that of the store.",
     )
--- a/chestnuttide/platform/_target_client.py
+++ b/chestnuttide/platform/_target_client.py
@@ -8,14 +8,15 @@
 from chestnuttide.platform import _ports
 from chestnuttide.platform import _target_wire
 
-# Requests at work at once in one process; 128 targets with 8 slots each.
+# Maximum number of concurrent requests of a process: 128 targets with 8 slots
+# each.
 MAX_CLIENTS: typing.Final[int] = 1024
 
-# A target accepts 64 connections from up to 8 instances that may own it one
-# after the other, and runs 8 requests at once.
+# A target runs 8 requests at once and accepts 64 connections, which allows for
+# up to 8 instances that own it one after another.
 MAX_TARGET_CONNECTIONS: typing.Final[int] = 8
 
-# Limit of a status call in seconds. It is no work and is answered at once.
+# Targets answer a status call immediately, because it occupies no slot.
 STATUS_TIMEOUT_S: typing.Final[float] = 1.0
 
 _MAX_STATUS_CLIENTS: typing.Final[int] = 64
@@ -28,24 +29,26 @@
     http_client: _http.HttpClient | None = None,
     status_client: _http.HttpClient | None = None,
 ) -> _ports.Targets:
-    """Return the functions that call targets.
+    """Return a client for targets.
 
     Parameters
     ----------
     max_clients : int
-        Requests at work at once; further ones wait in the client.
+        Maximum number of concurrent requests; further ones are queued in the
+        client.
     max_target_connections : int
-        Connections to one target; further requests wait for one of them.
+        Maximum number of connections to one target; further requests wait
+        until one is free.
     http_client, status_client : HttpClient, optional
-        Clients to use in place of new ones.
+        Clients to use instead of new ones.
 
     Returns
     -------
     Targets
-        The functions of the port. A request is written at most once, also
-        when a reused connection turns out to be closed.
+        The client. A request is sent at most once, even if a reused
+        connection turns out to be closed.
     """
-    client = http_client or _http.make_client(
+    work_client = http_client or _http.make_client(
         max_clients=max_clients, max_host_connections=max_target_connections
     )
     status = status_client or _http.make_client(
@@ -62,7 +65,7 @@
         may_send: collections.abc.Callable[[], bool],
     ) -> _ports.TargetAnswer:
         reply = await _http.fetch(
-            client,
+            work_client,
             url=f"http://{address}{_target_wire.WORK_PATH}",
             timeout_s=timeout_s,
             body=payload,
@@ -79,8 +82,8 @@
         )
 
     async def busy_slots(address: str, path: str) -> int:
-        # The connection is closed afterwards, so that it does not add to
-        # those that the target holds for work.
+        # The connection is closed afterwards, because it would count against
+        # the target's limit on connections.
         reply = await _http.fetch(
             status,
             url=f"http://{address}{path}",
@@ -89,7 +92,7 @@
         )
         if reply.status != 200:
             raise errors.PlatformError(
-                message=f"The target's status call answered {reply.status}.",
+                message=f"The target's status call returned {reply.status}.",
                 remedy="Check the service's status_path.",
                 sent=True,
             )
--- a/chestnuttide/platform/_target_wire.py
+++ b/chestnuttide/platform/_target_wire.py
@@ -1,4 +1,4 @@
-"""Encoding of the calls to targets: HTTP with the caller's payload."""
+"""Encoding of calls to targets: HTTP with the caller's payload."""
 
 import collections.abc
 import typing
@@ -15,9 +15,9 @@
 LEAVING_CODE: typing.Final[str] = "leaving"
 DEFAULT_CONTENT_TYPE: typing.Final[str] = "application/octet-stream"
 
-# Characters of request ids that a header carries unchanged. Others, among
-# them line ends and all that is not ASCII, are percent-encoded.
-_SAFE: typing.Final[str] = "!#$&'()*+,/:;=?@[]"
+# Characters of a request id that the header contains unchanged. All others,
+# such as line breaks and non-ASCII characters, are percent-encoded.
+_UNQUOTED_CHARACTERS: typing.Final[str] = "!#$&'()*+,/:;=?@[]"
 
 
 def encode_headers(
@@ -26,24 +26,24 @@
     """Return the headers of a request to a target."""
     return {
         "Content-Type": CONTENT_TYPE,
-        REQUEST_ID_HEADER: parse.quote(request_id, safe=_SAFE),
+        REQUEST_ID_HEADER: parse.quote(request_id, safe=_UNQUOTED_CHARACTERS),
         ATTEMPT_HEADER: str(attempt),
         EPOCH_HEADER: str(epoch),
     }
 
 
 def decode_request_id(header: str) -> str:
-    """Return the request id in its header."""
+    """Return the request id from the value of its header."""
     return parse.unquote(header)
 
 
 def is_leaving(
     status: int, headers: collections.abc.Mapping[str, str]
 ) -> bool:
-    """Return whether a target says that it leaves and ran nothing.
+    """Return whether a target signals that it is leaving and ran nothing.
 
-    All three signs are needed: an overloaded target also answers 503, and a
-    request that a target did not run may be sent elsewhere.
+    All three signs are required: an overloaded target also returns 503, and
+    only a request that was not run may be sent to another target.
     """
     return (
         status == 503
@@ -53,19 +53,19 @@
 
 
 def encode_status(slots: int, busy: int) -> bytes:
-    """Return the body of a target's report on its slots."""
+    """Return the body of a target's status response."""
     return _json_wire.dump({"slots": slots, "busy": busy})
 
 
 def decode_busy(body: bytes) -> int:
-    """Return the number of slots in use in a target's report.
+    """Return the number of busy slots from a target's status response.
 
     Raises
     ------
     ProtocolError
-        The body is malformed.
+        If the body is malformed.
     """
     busy = _json_wire.load(body).get("busy")
     if not isinstance(busy, int) or isinstance(busy, bool) or busy < 0:
-        raise _json_wire.malformed("busy is no number of slots")
+        raise _json_wire.malformed("busy is not a number of slots")
     return busy
--- a/chestnuttide/platform/_worker_agent_client.py
+++ b/chestnuttide/platform/_worker_agent_client.py
@@ -1,4 +1,4 @@
-"""Client of the agents of workers."""
+"""Client of the worker agents."""
 
 import collections.abc
 import time
@@ -10,12 +10,12 @@
 from chestnuttide.platform import _ports
 from chestnuttide.platform import _worker_agent_wire
 
-# One pool of 2,500 workers may be owned by one instance, with one waiting
-# sync for each worker.
+# An instance may own a pool of 2,500 workers and has one waiting sync per
+# worker.
 MAX_SYNCS: typing.Final[int] = 2560
 
-# Starts, stops and throttles never wait behind syncs: they have their own
-# client.
+# Starts, stops and throttles have a client of their own, so that they are
+# never queued behind syncs.
 MAX_COMMANDS: typing.Final[int] = 512
 
 
@@ -27,23 +27,23 @@
     sync_client: _http.HttpClient | None = None,
     command_client: _http.HttpClient | None = None,
 ) -> _ports.WorkerAgent:
-    """Return the functions that call worker agents.
+    """Return a client for worker agents.
 
     Parameters
     ----------
     timeout_s : float
-        Limit of a call in seconds; a sync has its wait in addition.
+        Timeout of a call in seconds; a sync adds its wait time.
     max_syncs, max_commands : int
-        Syncs and other calls at once; further ones wait in the client. Each
-        takes about 5 KB from the start.
+        Maximum numbers of concurrent syncs and of other calls; further calls
+        are queued in the client. Each of them takes about 5 KB of memory as
+        soon as the client is created.
     sync_client, command_client : HttpClient, optional
-        Clients to use in place of new ones.
+        Clients to use instead of new ones.
 
     Returns
     -------
     WorkerAgent
-        The functions of the port. An undecodable answer raises
-        `errors.PlatformError`.
+        The client. A malformed response raises `errors.PlatformError`.
     """
     syncs = sync_client or _http.make_client(max_clients=max_syncs)
     commands = command_client or _http.make_client(max_clients=max_commands)
@@ -54,14 +54,14 @@
         address: str,
         path: str,
         body: bytes,
-        limit_s: float,
+        call_timeout_s: float,
     ) -> bytes:
-        # A start that libcurl repeats could arrive after its attempt has
-        # ended and was forgotten; the other calls set a state.
+        # A start resent by libcurl could arrive after its attempt has ended
+        # and been forgotten. The other calls are idempotent.
         reply = await _http.fetch(
             client,
             url=f"http://{address}{path}",
-            timeout_s=limit_s,
+            timeout_s=call_timeout_s,
             body=body,
             headers=headers,
             resend=path != _worker_agent_wire.START_PATH,
@@ -69,7 +69,7 @@
         try:
             _worker_agent_wire.check_status(reply.status, reply.body)
         except errors.ProtocolError as error:
-            raise _undecodable(error) from error
+            raise _make_malformed_error(error) from error
         return reply.body
 
     async def start(
@@ -90,7 +90,7 @@
         try:
             return _worker_agent_wire.decode_outcomes(body)
         except errors.ProtocolError as error:
-            raise _undecodable(error) from error
+            raise _make_malformed_error(error) from error
 
     async def sync(
         address: str,
@@ -119,7 +119,7 @@
         try:
             return _worker_agent_wire.decode_sync_result(body)
         except errors.ProtocolError as error:
-            raise _undecodable(error) from error
+            raise _make_malformed_error(error) from error
 
     async def stop(
         address: str,
@@ -160,7 +160,7 @@
     )
 
 
-def _undecodable(error: errors.ProtocolError) -> errors.PlatformError:
+def _make_malformed_error(error: errors.ProtocolError) -> errors.PlatformError:
     return errors.PlatformError(
         message=error.message, remedy=error.remedy, sent=True
     )
--- a/chestnuttide/platform/_worker_agent_wire.py
+++ b/chestnuttide/platform/_worker_agent_wire.py
@@ -1,4 +1,4 @@
-"""Encoding of the calls to worker agents: HTTP POST with JSON."""
+"""Encoding of calls to worker agents: HTTP POST with JSON."""
 
 import collections.abc
 import json
@@ -33,10 +33,10 @@
     lease_s : float
         Lease of each started task in seconds.
     expires_at : float
-        Wall clock time, in seconds since the epoch, after which the worker
-        starts nothing of it.
+        Unix time in seconds after which the worker starts none of the
+        attempts.
     starts : tuple of TaskStart
-        The attempts to start.
+        Attempts to start.
     """
 
     epoch: int
@@ -47,23 +47,23 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SyncCall:
-    """A call to renew all leases and to wait for events.
+    """A call that renews the leases of all tasks and waits for events.
 
     Attributes
     ----------
     epoch : int
         Epoch of the shard that owns the worker.
     lease_s : float
-        Lease of each live task from now on, in seconds.
+        Lease of each live task in seconds, counted from this call.
     acknowledged : list of Attempt
         Ended attempts that the worker may forget.
     wait_s : float
         Seconds to wait for an event.
     after : int
-        Sequence of the last event that the caller knows.
+        Sequence number of the last event that the owner knows.
     known : str
-        Digest of the reports that the caller has; empty if it wants them in
-        any case.
+        Digest of the reports that the owner has; empty to request the reports
+        unconditionally.
     """
 
     epoch: int
@@ -83,9 +83,9 @@
     epoch : int
         Epoch of the shard that owns the worker.
     checkpoint : bool
-        Whether the progress of the tasks is kept.
+        Whether the progress of the tasks is checkpointed.
     tasks : list of Attempt
-        The attempts to stop.
+        Attempts to stop.
     """
 
     epoch: int
@@ -95,16 +95,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ThrottleCall:
-    """A call to limit attempts.
+    """A call to throttle attempts.
 
     Attributes
     ----------
     epoch : int
         Epoch of the shard that owns the worker.
     share : float
-        Share of their processor time, 0 to 1.
+        Share of their CPU time that the attempts may use, 0 to 1.
     tasks : list of Attempt
-        The attempts to limit.
+        Attempts to throttle.
     """
 
     epoch: int
@@ -118,12 +118,12 @@
     expires_at: float,
     starts: collections.abc.Sequence[_ports.TaskStart],
 ) -> bytes:
-    """Return the body of a start; see `StartCall`.
+    """Return the body of a start call; see `StartCall`.
 
     Raises
     ------
     ValueError
-        A payload is no JSON.
+        If a payload is not JSON.
     """
     tasks = [
         {
@@ -146,12 +146,12 @@
 
 
 def decode_start(body: bytes) -> StartCall:
-    """Return the start in a body.
+    """Return the start call encoded in a body.
 
     Raises
     ------
     ProtocolError
-        The body is malformed.
+        If the body is malformed.
     """
     fields = _json_wire.load(body)
     try:
@@ -177,7 +177,7 @@
 def encode_outcomes(
     outcomes: collections.abc.Iterable[_ports.StartOutcome],
 ) -> bytes:
-    """Return the body of the answer to a start."""
+    """Return the body of the response to a start call."""
     results = [
         {
             "job_id": outcome.attempt.job_id,
@@ -191,12 +191,12 @@
 
 
 def decode_outcomes(body: bytes) -> list[_ports.StartOutcome]:
-    """Return the outcomes in the answer to a start.
+    """Return the outcomes in the response to a start call.
 
     Raises
     ------
     ProtocolError
-        The body is malformed.
+        If the body is malformed.
     """
     try:
         return [
@@ -211,66 +211,66 @@
 
 
 def encode_call(call: SyncCall | StopCall | ThrottleCall) -> bytes:
-    """Return the body of a sync, a stop or a throttle."""
+    """Return the body of a sync, stop or throttle call."""
     return _json_wire.dump(call)
 
 
 def decode_sync(body: bytes) -> SyncCall:
-    """Return the sync in a body; raises `errors.ProtocolError`."""
+    """Return the sync call in a body or raise `errors.ProtocolError`."""
     return _json_wire.from_plain(_json_wire.load(body), SyncCall)
 
 
 def decode_stop(body: bytes) -> StopCall:
-    """Return the stop in a body; raises `errors.ProtocolError`."""
+    """Return the stop call in a body or raise `errors.ProtocolError`."""
     return _json_wire.from_plain(_json_wire.load(body), StopCall)
 
 
 def decode_throttle(body: bytes) -> ThrottleCall:
-    """Return the throttle in a body; raises `errors.ProtocolError`."""
+    """Return the throttle call in a body or raise `errors.ProtocolError`."""
     return _json_wire.from_plain(_json_wire.load(body), ThrottleCall)
 
 
 def digest_reports(
     reports: collections.abc.Iterable[model.AttemptReport],
 ) -> str:
-    """Return a digest of which attempts are reported in which state.
+    """Return a digest of the reported attempts and their states.
 
-    Run times and usage are left out; they change all the time.
+    Run times and usage are excluded because they change continually.
     """
     lines = sorted(
-        f"{each.attempt.job_id}/{each.attempt.index}/{each.attempt.number}"
-        f"/{each.state.value}"
-        for each in reports
+        f"{report.attempt.job_id}/{report.attempt.index}"
+        f"/{report.attempt.number}/{report.state.value}"
+        for report in reports
     )
     return xxhash.xxh64_hexdigest("\n".join(lines).encode())
 
 
 def encode_sync_result(result: _ports.SyncResult) -> bytes:
-    """Return the body of the answer to a sync."""
+    """Return the body of the response to a sync call."""
     return _json_wire.dump(result)
 
 
 def decode_sync_result(body: bytes) -> _ports.SyncResult:
-    """Return the answer to a sync; raises `errors.ProtocolError`."""
+    """Return the response to a sync call or raise `errors.ProtocolError`."""
     return _json_wire.from_plain(_json_wire.load(body), _ports.SyncResult)
 
 
 def encode_stale_epoch(epoch: int) -> bytes:
-    """Return the body of the answer to a call with an old epoch."""
+    """Return the body of the response to a call with a stale epoch."""
     return _json_wire.dump({"error": {"code": STALE_EPOCH, "epoch": epoch}})
 
 
 def check_status(status: int, body: bytes) -> None:
-    """Return when a call succeeded.
+    """Raise an error unless a call succeeded.
 
     Raises
     ------
     DeposedError
-        The worker has seen a higher epoch.
+        If the worker has seen a higher epoch.
     PlatformError
-        Any other status than 200.
+        If the status is any other than 200.
     ProtocolError
-        The body of a 409 is malformed.
+        If the body of a 409 response is malformed.
     """
     if status == 200:
         return
@@ -279,10 +279,10 @@
         if isinstance(error, dict) and error.get("code") == STALE_EPOCH:
             raise errors.DeposedError(
                 message=f"The worker has seen epoch {error.get('epoch')}.",
-                remedy="Stop acting as the owner of its pool.",
+                remedy="Stop acting as the owner of the worker's pool.",
             )
     raise errors.PlatformError(
-        message=f"The worker answered {status}.",
-        remedy="Try again on the same worker.",
+        message=f"The worker returned status {status}.",
+        remedy="Retry on the same worker.",
         sent=True,
     )
