--- a/chestnuttide/platform/_kv_store.py
+++ b/chestnuttide/platform/_kv_store.py
@@ -338,7 +338,7 @@
         )
     except errors.PlatformError as error:
         store.count(kind, "unanswered" if error.sent else "unsent")
-        _record_failure(store, silent=True)
+        _record_failure(store, unanswered=True)
         error_class = (
             errors.StoreUnavailableError if error.sent else StoreRefusedError
         )
@@ -348,7 +348,7 @@
         ) from error
     store.count(kind, str(reply.status))
     if reply.status in (429, 503):
-        _record_failure(store, silent=False)
+        _record_failure(store, unanswered=False)
         raise StoreRefusedError(
             message=f"The store rejected a call with status {reply.status}.",
             remedy="Retry later.",
@@ -359,9 +359,9 @@
     return reply
 
 
-def _record_failure(store: KvStore, *, silent: bool) -> None:
+def _record_failure(store: KvStore, *, unanswered: bool) -> None:
     store.failing_since = store.failing_since or time.monotonic()
-    store.silent = silent
+    store.silent = unanswered
 
 
 def _decode_json(reply: _http.Reply) -> dict[str, object]:
--- a/chestnuttide/platform/tests/test_formats.py
+++ b/chestnuttide/platform/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""Documents of the platform that are odd or cannot be read."""
+"""Tests of decoding documents, most of them malformed."""
 
 import json
 
@@ -18,8 +18,8 @@
 }
 
 
-def test_a_workers_entry() -> None:
-    """Guards against a misread capacity, rack or lifetime."""
+def test_decode_worker() -> None:
+    """Guards against a misread capacity, rack or incarnation."""
     report = platform.decode_worker("w1", json.dumps(ENTRY).encode())
     assert (report.id, report.born_ms, report.rack) == ("w1", 17, "r1-2")
     assert report.capacity.cpu_millis == 4000
@@ -29,25 +29,25 @@
 @pytest.mark.parametrize(
     "value",
     [
-        pytest.param(b"\xff\xfe", id="bytes"),
-        pytest.param(b"[]", id="list"),
+        pytest.param(b"\xff\xfe", id="invalid-utf-8"),
+        pytest.param(b"[]", id="list-instead-of-object"),
         *(
             pytest.param(json.dumps(ENTRY | change).encode(), id=name)
             for name, change in {
                 "unknown-state": {"state": "odd"},
-                "service-of-another-type": {"service": 7},
+                "service-of-wrong-type": {"service": 7},
                 "address-without-port": {"addr": "10.0.0.1"},
-                "capacity-as-text": {"capacity": {"cpu": "many"}},
-                "capacity-below-zero": {"capacity": {"cpu": -1}},
-                "no-capacity": {"capacity": None},
-                "labels-of-another-type": {"labels": [1]},
-                "born-as-text": {"born": "today"},
+                "capacity-as-string": {"capacity": {"cpu": "many"}},
+                "negative-capacity": {"capacity": {"cpu": -1}},
+                "null-capacity": {"capacity": None},
+                "labels-of-wrong-type": {"labels": [1]},
+                "born-as-string": {"born": "today"},
             }.items()
         ),
     ],
 )
-def test_an_entry_that_names_no_worker(value: bytes) -> None:
-    """Guards against one bad entry that stops the reading of others."""
+def test_malformed_worker_entry_is_rejected(value: bytes) -> None:
+    """Guards against one malformed entry that prevents reading the rest."""
     with pytest.raises(errors.ProtocolError):
         platform.decode_worker("w1", value)
 
@@ -56,7 +56,7 @@
     "value",
     [b"", b"{}", b'{"version":1,"routes":[{}]}', b'{"version":"x"}'],
 )
-def test_a_config_that_cannot_be_read(value: bytes) -> None:
-    """Guards against a daemon that ends because of a bad configuration."""
+def test_malformed_config_is_rejected(value: bytes) -> None:
+    """Guards against a daemon that exits on a malformed configuration."""
     with pytest.raises(errors.ProtocolError):
         platform.decode_config(value)
--- a/chestnuttide/platform/tests/test_instance_list_client.py
+++ b/chestnuttide/platform/tests/test_instance_list_client.py
@@ -13,7 +13,7 @@
 from standins import instance_list
 
 
-def _plain(name: str, **fields: typing.Any) -> dict[str, typing.Any]:
+def _instance_fields(name: str, **fields: typing.Any) -> dict[str, typing.Any]:
     return {
         "instance_id": name,
         "kind": "entry",
@@ -25,7 +25,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _opened() -> collections.abc.AsyncIterator[
+async def _serve_list() -> collections.abc.AsyncIterator[
     tuple[instance_list.Endpoint, platform.InstanceList]
 ]:
     endpoint = instance_list.Endpoint()
@@ -45,32 +45,47 @@
         await _serving.close(served)
 
 
-# Changes made one after the other, the call, and the ids and the revision
-# that it returns.
+# Each case: successive changes to the list, the arguments of the call, and the
+# instance ids and revision that it must return.
 _CALLS = [
-    pytest.param([], (0, ""), [], 0, id="empty_list_fails"),
+    pytest.param([], (0, ""), [], 0, id="empty_list"),
     pytest.param(
-        [[_plain("a"), _plain("b")]], (0, ""), ["a", "b"], 2, id="all_lost"
+        [[_instance_fields("a"), _instance_fields("b")]],
+        (0, ""),
+        ["a", "b"],
+        2,
+        id="all_instances",
     ),
     pytest.param(
-        [[_plain("a"), _plain("b")], [_plain("a", state="gone")]],
+        [
+            [_instance_fields("a"), _instance_fields("b")],
+            [_instance_fields("a", state="gone")],
+        ],
         (2, ""),
         ["a"],
         3,
-        id="change_after_revision_lost",
+        id="changes_after_revision",
     ),
     pytest.param(
-        [[_plain("a")], [_plain("a")]], (1, ""), [], 1, id="same_is_change"
+        [[_instance_fields("a")], [_instance_fields("a")]],
+        (1, ""),
+        [],
+        1,
+        id="unchanged_instance_not_listed",
     ),
     pytest.param(
-        [[_plain("a"), _plain("w", kind="worker")]],
+        [[_instance_fields("a"), _instance_fields("w", kind="worker")]],
         (0, "worker"),
         ["w"],
         2,
-        id="kind_ignored",
+        id="filter_by_kind",
     ),
     pytest.param(
-        [[_plain("a")]], (9, ""), ["a"], 1, id="restarted_list_hides_all"
+        [[_instance_fields("a")]],
+        (9, ""),
+        ["a"],
+        1,
+        id="restarted_list_returns_all",
     ),
 ]
 
@@ -82,19 +97,21 @@
     names: list[str],
     revision: int,
 ) -> None:
+    """Guards against lost changes, repeated ones and an ignored kind."""
+
     async def scenario() -> None:
-        async with _opened() as (endpoint, port):
-            for instances in changes:
-                instance_list.control(endpoint, {"set": instances})
-            result = await port.changes(*call)
+        async with _serve_list() as (endpoint, instances):
+            for change in changes:
+                instance_list.control(endpoint, {"set": change})
+            result = await instances.changes(*call)
             found = [instance.instance_id for instance in result.instances]
             assert (found, result.revision) == (names, revision)
 
     asyncio.run(scenario())
 
 
-def test_fields_survive() -> None:
-    """A lost field would place work on the wrong rack or beyond capacity."""
+def test_instance_fields_are_preserved() -> None:
+    """Guards against lost fields: work on a wrong rack or beyond capacity."""
     capacity = model.Resources(cpu_millis=1, memory_mb=2, accelerators=3)
     instance = model.Instance(
         instance_id="r-1",
@@ -110,23 +127,23 @@
     )
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, port):
+        async with _serve_list() as (endpoint, instances):
             instance_list.put(endpoint.state, [instance], 0.0)
-            assert (await port.changes(0, "")).instances == (instance,)
+            assert (await instances.changes(0, "")).instances == (instance,)
 
     asyncio.run(scenario())
 
 
-def test_change_shows_after_lag() -> None:
+def test_change_is_listed_after_lag() -> None:
     async def scenario() -> None:
-        async with _opened() as (endpoint, port):
+        async with _serve_list() as (endpoint, instances):
             instance_list.control(
-                endpoint, {"lag_s": 0.15, "set": [_plain("a")]}
+                endpoint, {"lag_s": 0.15, "set": [_instance_fields("a")]}
             )
-            assert (await port.changes(0, "")).revision == 0
+            assert (await instances.changes(0, "")).revision == 0
             assert instance_list.evidence(endpoint)["pending"] == 1
             await asyncio.sleep(0.2)
-            assert (await port.changes(0, "")).revision == 1
+            assert (await instances.changes(0, "")).revision == 1
 
     asyncio.run(scenario())
 
@@ -134,19 +151,21 @@
 @pytest.mark.parametrize(
     "switches",
     [
-        pytest.param({"down": True}, id="refusal_taken_for_empty_list"),
-        pytest.param({"silent": True}, id="silence_blocks_for_ever"),
-        pytest.param({"drop_answers": 9}, id="lost_answer_blocks_for_ever"),
-        pytest.param({"slow_s": 1.0}, id="slow_list_blocks"),
+        pytest.param({"down": True}, id="refused_call"),
+        pytest.param({"silent": True}, id="unanswered_call"),
+        pytest.param({"drop_answers": 9}, id="lost_answer"),
+        pytest.param({"slow_s": 1.0}, id="slow_answer"),
     ],
 )
-def test_faults(switches: dict[str, typing.Any]) -> None:
+def test_faults_raise_platform_error(switches: dict[str, typing.Any]) -> None:
+    """Guards against blocking calls and refusals read as an empty list."""
+
     async def scenario() -> None:
-        async with _opened() as (endpoint, port):
+        async with _serve_list() as (endpoint, instances):
             instance_list.control(endpoint, switches)
             with pytest.raises(errors.PlatformError):
-                await port.changes(0, "")
+                await instances.changes(0, "")
             instance_list.control(endpoint, {"reset": True})
-            assert (await port.changes(0, "")).revision == 0
+            assert (await instances.changes(0, "")).revision == 0
 
     asyncio.run(scenario())
--- a/chestnuttide/platform/tests/test_store.py
+++ b/chestnuttide/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""One table of cases for the real client and the in-memory store."""
+"""Tests of the store, run with the HTTP client and the in-memory store."""
 
 import asyncio
 import collections.abc
@@ -15,7 +15,7 @@
 from standins import _serving
 from standins import store
 
-_FORMS = ("http", "memory")
+_IMPLEMENTATIONS = ("http", "memory")
 _TIMEOUT_S = 0.3
 
 _Conflict = errors.RevisionConflictError
@@ -24,8 +24,8 @@
 
 
 @attrs.define(kw_only=True)
-class _Bench:
-    """A store under test with its clock."""
+class _Harness:
+    """A store under test with a manual clock."""
 
     now: float = 1000.0
     endpoint: store.Endpoint | None = None
@@ -34,35 +34,35 @@
 
 
 @contextlib.asynccontextmanager
-async def _opened(
-    form: str,
+async def _serve_store(
+    implementation: str,
     clock: collections.abc.Callable[[], float] | None = None,
-) -> collections.abc.AsyncIterator[_Bench]:
-    bench = _Bench()
-    bench.endpoint = store.make_endpoint(
-        store.State(), clock or (lambda: bench.now)
+) -> collections.abc.AsyncIterator[_Harness]:
+    harness = _Harness()
+    harness.endpoint = store.make_endpoint(
+        store.State(), clock or (lambda: harness.now)
     )
-    if form == "memory":
-        bench.connect = lambda client_id: store.make_in_memory_store(
-            bench.endpoint.state,
-            bench.endpoint.clock,
+    if implementation == "memory":
+        harness.connect = lambda client_id: store.make_in_memory_store(
+            harness.endpoint.state,
+            harness.endpoint.clock,
             client_id=client_id,
             timeout_s=_TIMEOUT_S,
-            endpoint=bench.endpoint,
+            endpoint=harness.endpoint,
         )
-        yield bench
+        yield harness
         return
-    served = store.listen(port=0, endpoint=bench.endpoint)
+    served = store.listen(port=0, endpoint=harness.endpoint)
     client = _http.make_client(max_clients=32)
-    bench.connect = lambda client_id: platform.make_store(
+    harness.connect = lambda client_id: platform.make_store(
         address=f"127.0.0.1:{served.port}",
         timeout_s=_TIMEOUT_S,
-        call_counts=bench.counts,
+        call_counts=harness.counts,
         client_id=client_id,
         http_client=client,
     )
     try:
-        yield bench
+        yield harness
     finally:
         _http.close(client)
         await _serving.close(served)
@@ -80,8 +80,8 @@
     return platform.WatchResult(revision=revision, entries=entries)
 
 
-# Each step is a call with its arguments and what comes of it. `advance` moves
-# the clock.
+# Each step is a call with its arguments and its expected result or error.
+# `advance` advances the clock.
 _STEPS = [
     pytest.param(
         [
@@ -89,7 +89,7 @@
             ("write", ("k", b"2", 0, "x", 0), _Conflict),
             ("get", ("k",), _entry("k", b"1", 1)),
         ],
-        id="create_twice_overwrites",
+        id="second_create_conflicts",
     ),
     pytest.param(
         [
@@ -99,14 +99,14 @@
             ("write", ("k", b"3", 7, "w", 0), _Conflict),
             ("get", ("k",), _entry("k", b"2", 2)),
         ],
-        id="write_at_old_revision_succeeds",
+        id="write_at_other_revision_conflicts",
     ),
     pytest.param(
         [
             ("write", ("k", b"1", 5, "w", 0), _Conflict),
             ("get", ("k",), None),
         ],
-        id="update_creates_absent_key",
+        id="update_of_absent_key_conflicts",
     ),
     pytest.param(
         [
@@ -115,7 +115,7 @@
             ("write", ("a", b"", 1, "w", 0), 3),
             ("get", ("a",), _entry("a", b"", 3)),
         ],
-        id="revision_is_per_key_or_empty_value_lost",
+        id="store_wide_revision_and_empty_value",
     ),
     pytest.param(
         [
@@ -130,7 +130,7 @@
             ),
             ("list_range", ("z",), []),
         ],
-        id="range_out_of_order_or_beyond_prefix",
+        id="range_is_sorted_and_within_prefix",
     ),
     pytest.param(
         [
@@ -141,7 +141,7 @@
             ("get", ("k",), None),
             ("write", ("k", b"2", 0, "w", 0), 3),
         ],
-        id="delete_ignores_revision",
+        id="delete_checks_revision",
     ),
     pytest.param(
         [
@@ -156,7 +156,7 @@
             ("renew_lease", (1,), _Expired),
             ("write", ("m", b"1", 0, "w", 1), _Expired),
         ],
-        id="lease_outlives_its_time",
+        id="lease_expires_unless_renewed",
     ),
     pytest.param(
         [
@@ -166,7 +166,7 @@
             ("advance", 3.0, None),
             ("get", ("m",), _entry("m", b"2", 2)),
         ],
-        id="detached_key_dies_with_old_lease",
+        id="detached_key_outlives_old_lease",
     ),
     pytest.param(
         [
@@ -180,7 +180,7 @@
             ("get", ("m",), None),
             ("revoke_lease", (2,), None),
         ],
-        id="moved_key_dies_with_old_lease",
+        id="key_follows_its_last_lease",
     ),
     pytest.param(
         [
@@ -198,7 +198,7 @@
             ),
             ("watch", ("p/", 5, 0.0), _changes(5)),
         ],
-        id="watch_misses_change_or_deletion",
+        id="watch_returns_changes_and_deletions",
     ),
     pytest.param(
         [
@@ -207,142 +207,152 @@
             ("advance", 1.0, None),
             ("watch", ("m/", 1, 0.0), _changes(2, _entry("m/1", None, 2))),
         ],
-        id="watch_misses_expired_lease",
+        id="watch_returns_keys_of_expired_lease",
     ),
     pytest.param(
         [("write", ("k", bytes(1_000_000), 0, "w", 0), 1)],
-        id="largest_value_refused",
+        id="largest_value_accepted",
     ),
 ]
 
 
-@pytest.mark.parametrize("form", _FORMS)
+@pytest.mark.parametrize("implementation", _IMPLEMENTATIONS)
 @pytest.mark.parametrize("steps", _STEPS)
 def test_calls(
-    form: str, steps: list[tuple[str, typing.Any, typing.Any]]
+    implementation: str, steps: list[tuple[str, typing.Any, typing.Any]]
 ) -> None:
+    """Guards against differences between the two implementations."""
+
     async def scenario() -> None:
-        async with _opened(form) as bench:
-            port = bench.connect("i1")
+        async with _serve_store(implementation) as harness:
+            client = harness.connect("i1")
             for name, arguments, expected in steps:
                 if name == "advance":
-                    bench.now += arguments
+                    harness.now += arguments
                 elif isinstance(expected, type):
                     with pytest.raises(expected):
-                        await getattr(port, name)(*arguments)
+                        await getattr(client, name)(*arguments)
                 else:
-                    assert await getattr(port, name)(*arguments) == expected, (
-                        name
-                    )
+                    assert (
+                        await getattr(client, name)(*arguments) == expected
+                    ), name
 
     asyncio.run(scenario())
 
 
-# A write under faults: the switches, what the client sees, and whether the
-# write has taken effect afterwards.
+# A write under faults: the injected faults, the error that the client must
+# raise, and whether the write must have taken effect.
 _FAULTS = [
-    pytest.param({"down": True}, _Unavailable, False, id="down_takes_effect"),
+    pytest.param({"down": True}, _Unavailable, False, id="down"),
     pytest.param(
-        {"drop_answers": 1}, _Unavailable, True, id="lost_answer_has_no_effect"
+        {"drop_answers": 1}, _Unavailable, True, id="lost_answer_after_effect"
     ),
     pytest.param(
         {"drop_answers": 0.999999},
         _Unavailable,
         True,
-        id="share_of_answers_is_not_lost",
+        id="lost_share_of_answers",
     ),
     pytest.param(
         {"down": True, "for_prefix": "other/"},
         None,
         True,
-        id="fault_hits_other_prefix",
+        id="fault_for_other_prefix",
     ),
     pytest.param(
         {"down": True, "for_prefix": "k"},
         _Unavailable,
         False,
-        id="fault_misses_its_prefix",
+        id="fault_for_same_prefix",
     ),
     pytest.param(
         {"down": True, "for_client": "i2"},
         None,
         True,
-        id="partition_hits_other_client",
+        id="partition_of_other_client",
     ),
     pytest.param(
         {"down": True, "for_client": ["i1", "i2"]},
         _Unavailable,
         False,
-        id="partition_misses_its_client",
+        id="partition_of_same_client",
     ),
-    pytest.param({"slow_s": 0.05}, None, True, id="slow_store_fails"),
+    pytest.param({"slow_s": 0.05}, None, True, id="slow_store_within_timeout"),
     pytest.param(
         {"drop_answers": 1, "drop_kinds": ["get"]},
         None,
         True,
-        id="lost_answer_hits_other_kind",
+        id="lost_answer_for_other_kind",
     ),
 ]
 
 
-@pytest.mark.parametrize("form", _FORMS)
+@pytest.mark.parametrize("implementation", _IMPLEMENTATIONS)
 @pytest.mark.parametrize(("switches", "error", "effect"), _FAULTS)
-def test_faults(
-    form: str,
+def test_write_under_faults(
+    implementation: str,
     switches: dict[str, typing.Any],
     error: type[Exception] | None,
     effect: bool,
 ) -> None:
+    """Guards against injected faults that hit or miss the wrong calls."""
+
     async def scenario() -> None:
-        async with _opened(form) as bench:
-            port = bench.connect("i1")
-            store.control(bench.endpoint, switches)
+        async with _serve_store(implementation) as harness:
+            client = harness.connect("i1")
+            store.control(harness.endpoint, switches)
             if error is None:
-                await port.write("k", b"1", 0, "w", 0)
+                await client.write("k", b"1", 0, "w", 0)
             else:
                 with pytest.raises(error):
-                    await port.write("k", b"1", 0, "w", 0)
-            store.control(bench.endpoint, {"reset": True})
-            found = await port.get("k")
-            assert (found is not None) == effect
-            evidence = store.evidence(bench.endpoint)
+                    await client.write("k", b"1", 0, "w", 0)
+            store.control(harness.endpoint, {"reset": True})
+            entry = await client.get("k")
+            assert (entry is not None) == effect
+            evidence = store.evidence(harness.endpoint)
             assert evidence["counts"] == {"write": 1, "get": 1}
             assert evidence["by_client"] == {"i1": {"write": 1, "get": 1}}
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("form", _FORMS)
+@pytest.mark.parametrize("implementation", _IMPLEMENTATIONS)
 @pytest.mark.parametrize(
     ("action", "changed"),
     [
-        pytest.param("write", ("m/1", b"1"), id="write_wakes_no_watch"),
-        pytest.param("lapse", ("m/0", None), id="lapse_wakes_no_watch"),
-        pytest.param("other", None, id="other_prefix_ends_watch"),
-        pytest.param("down", _Unavailable, id="outage_leaves_watch_waiting"),
-        pytest.param("silent", TimeoutError, id="partition_ends_watch_early"),
+        pytest.param("write", ("m/1", b"1"), id="write_wakes_watch"),
+        pytest.param("expire", ("m/0", None), id="lease_expiry_wakes_watch"),
+        pytest.param("other", None, id="other_prefix_keeps_watch_waiting"),
+        pytest.param("down", _Unavailable, id="outage_ends_watch"),
+        pytest.param(
+            "silent", TimeoutError, id="partition_ends_watch_by_timeout"
+        ),
     ],
 )
-def test_waiting_watch(form: str, action: str, changed: typing.Any) -> None:
+def test_waiting_watch(
+    implementation: str, action: str, changed: typing.Any
+) -> None:
+    """Guards against a watch that misses its wake-up or ends too early."""
+
     async def scenario() -> None:
-        async with _opened(form, time.monotonic) as bench:
-            port = bench.connect("i1")
-            lease_id = await port.grant_lease(0.15)
-            await port.write("m/0", b"0", 0, "w", lease_id)
-            if action != "lapse":
-                await port.revoke_lease(lease_id)
+        async with _serve_store(implementation, time.monotonic) as harness:
+            client = harness.connect("i1")
+            lease_id = await client.grant_lease(0.15)
+            await client.write("m/0", b"0", 0, "w", lease_id)
+            if action != "expire":
+                await client.revoke_lease(lease_id)
             start = time.monotonic()
-            revision = bench.endpoint.state.revision
-            watch = asyncio.create_task(port.watch("m/", revision, 0.5))
+            revision = harness.endpoint.state.revision
+            watch = asyncio.create_task(client.watch("m/", revision, 0.5))
             await asyncio.sleep(0.05)
-            assert store.evidence(bench.endpoint)["waiting_watches"] == 1
+            assert store.evidence(harness.endpoint)["waiting_watches"] == 1
             if action == "write":
-                await port.write("m/1", b"1", 0, "w", 0)
+                await client.write("m/1", b"1", 0, "w", 0)
             elif action == "other":
-                await port.write("n", b"1", 0, "w", 0)
+                await client.write("n", b"1", 0, "w", 0)
             elif action in ("down", "silent"):
                 store.control(
-                    bench.endpoint, {action: True, "for_client": "i1"}
+                    harness.endpoint, {action: True, "for_client": "i1"}
                 )
             if isinstance(changed, type):
                 with pytest.raises(_Unavailable):
@@ -353,27 +363,27 @@
                 assert seen == ([changed] if changed else [])
             waited_s = time.monotonic() - start
             assert (waited_s >= 0.5) == (changed in (None, TimeoutError))
-            store.control(bench.endpoint, {"reset": True})
+            store.control(harness.endpoint, {"reset": True})
             await asyncio.sleep(0.05)
-            assert store.evidence(bench.endpoint)["waiting_watches"] == 0
+            assert store.evidence(harness.endpoint)["waiting_watches"] == 0
 
     asyncio.run(scenario())
 
 
 def test_calls_are_counted_by_kind() -> None:
-    """Miscounts would hide that the budget of store calls is exceeded."""
+    """Guards against miscounts, which hide an exceeded call budget."""
 
     async def scenario() -> None:
-        async with _opened("http") as bench:
-            port = bench.connect("i1")
-            await port.list_range("")
-            await port.watch("", 0, 0.0)
-            store.control(bench.endpoint, {"down": True})
+        async with _serve_store("http") as harness:
+            client = harness.connect("i1")
+            await client.list_range("")
+            await client.watch("", 0, 0.0)
+            store.control(harness.endpoint, {"down": True})
             for _ in range(2):
                 with pytest.raises(_Unavailable):
-                    await port.renew_lease(1)
-            counts = store.evidence(bench.endpoint)["counts"]
-            assert bench.counts == counts
+                    await client.renew_lease(1)
+            counts = store.evidence(harness.endpoint)["counts"]
+            assert harness.counts == counts
             assert counts == {"range": 1, "watch": 1, "lease_renew": 2}
             seen: list[str] = []
             other = platform.make_store(
@@ -388,37 +398,37 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("form", _FORMS)
-def test_silent_store_ends_with_timeout(form: str) -> None:
-    """A call without an answer would block its caller forever."""
+@pytest.mark.parametrize("implementation", _IMPLEMENTATIONS)
+def test_unresponsive_store_causes_timeout(implementation: str) -> None:
+    """Guards against a call that blocks forever without a response."""
 
     async def scenario() -> None:
-        async with _opened(form) as bench:
-            port = bench.connect("i1")
-            store.control(bench.endpoint, {"silent": True})
+        async with _serve_store(implementation) as harness:
+            client = harness.connect("i1")
+            store.control(harness.endpoint, {"silent": True})
             start = time.monotonic()
             with pytest.raises(_Unavailable):
-                await port.get("k")
+                await client.get("k")
             assert _TIMEOUT_S <= time.monotonic() - start < 3 * _TIMEOUT_S
-            store.control(bench.endpoint, {"reset": True})
-            assert await port.get("k") is None
+            store.control(harness.endpoint, {"reset": True})
+            assert await client.get("k") is None
 
     asyncio.run(scenario())
 
 
-def test_late_write_lands_after_timeout() -> None:
-    """A client must be ready for a write that lands after it gave up."""
+def test_delayed_write_takes_effect_after_timeout() -> None:
+    """A write whose call timed out may still take effect later."""
 
     async def scenario() -> None:
-        async with _opened("http") as bench:
-            port = bench.connect("i1")
-            store.control(bench.endpoint, {"slow_s": _TIMEOUT_S + 0.1})
+        async with _serve_store("http") as harness:
+            client = harness.connect("i1")
+            store.control(harness.endpoint, {"slow_s": _TIMEOUT_S + 0.1})
             with pytest.raises(_Unavailable):
-                await port.write("k", b"1", 0, "w", 0)
-            store.control(bench.endpoint, {"reset": True})
-            assert await port.get("k") is None
+                await client.write("k", b"1", 0, "w", 0)
+            store.control(harness.endpoint, {"reset": True})
+            assert await client.get("k") is None
             await asyncio.sleep(0.2)
-            assert await port.get("k") == _entry("k", b"1", 1)
+            assert await client.get("k") == _entry("k", b"1", 1)
 
     asyncio.run(scenario())
 
@@ -426,12 +436,14 @@
 @pytest.mark.parametrize(
     ("body", "status"),
     [
-        pytest.param(b"\xff", 400, id="no_cbor_crashes_store"),
-        pytest.param(b"\x01", 400, id="no_map_crashes_store"),
-        pytest.param(b"\xa0", 400, id="missing_field_crashes_store"),
+        pytest.param(b"\xff", 400, id="not_cbor"),
+        pytest.param(b"\x01", 400, id="not_a_map"),
+        pytest.param(b"\xa0", 400, id="missing_field"),
     ],
 )
-def test_malformed_call(body: bytes, status: int) -> None:
+def test_malformed_call_is_rejected(body: bytes, status: int) -> None:
+    """Guards against a malformed call that crashes the store."""
+
     async def scenario() -> None:
         served = store.listen(port=0)
         client = _http.make_client(max_clients=1)
--- a/chestnuttide/platform/tests/test_target_client.py
+++ b/chestnuttide/platform/tests/test_target_client.py
@@ -17,12 +17,12 @@
 from standins import _serving
 from standins import runner
 
-_ANSWER = (
+_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
     b"Content-Length: 4\r\n\r\ndone"
 )
-_PARTIAL = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ndone"
-_ENDLESS = (
+_TRUNCATED = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ndone"
+_TRUNCATED_CHUNKED = (
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"
 )
 _LEAVING = (
@@ -34,11 +34,11 @@
 
 
 @attrs.define(kw_only=True)
-class _Peer:
-    """A raw server that plays a script and records what arrived.
+class _ScriptedServer:
+    """A raw TCP server that follows a script and records its requests.
 
-    Each item of the script is for one connection: a list of what to do with
-    the requests on it, in order. The connection is closed after the last.
+    Each item of the script lists the actions for the successive requests on
+    one connection, which is closed after the last action.
     """
 
     script: list[list[bytes | str]]
@@ -49,25 +49,27 @@
 
 
 async def _serve(
-    peer: _Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    server: _ScriptedServer,
+    reader: asyncio.StreamReader,
+    writer: asyncio.StreamWriter,
 ) -> None:
-    actions = peer.script[min(peer.connections, len(peer.script) - 1)]
-    peer.connections += 1
+    actions = server.script[min(server.connections, len(server.script) - 1)]
+    server.connections += 1
     try:
         for action in actions:
             if action == "close_unread":
-                # Waits until the request lies in the socket's buffer, so that
-                # the close resets the connection.
+                # Waits until the request is in the socket's receive buffer, so
+                # that closing the socket resets the connection.
                 await asyncio.sleep(0.05)
                 break
             head = await reader.readuntil(b"\r\n\r\n")
-            peer.bytes_in += len(head)
+            server.bytes_in += len(head)
             fields = dict(
                 line.split(": ", 1)
                 for line in head.decode().split("\r\n")[1:]
                 if line
             )
-            peer.ids.append(fields["X-Request-Id"])
+            server.ids.append(fields["X-Request-Id"])
             await reader.readexactly(int(fields["Content-Length"]))
             if action == "hang":
                 await asyncio.sleep(2 * _SHORT_TIMEOUT_S)
@@ -80,22 +82,22 @@
 
 
 @contextlib.asynccontextmanager
-async def _playing(
+async def _run_script(
     script: list[list[bytes | str]],
-) -> collections.abc.AsyncIterator[tuple[_Peer, platform.Targets]]:
-    peer = _Peer(script=script)
-    server = await asyncio.start_server(
-        lambda reader, writer: _serve(peer, reader, writer), "127.0.0.1", 0
+) -> collections.abc.AsyncIterator[tuple[_ScriptedServer, platform.Targets]]:
+    server = _ScriptedServer(script=script)
+    listener = await asyncio.start_server(
+        lambda reader, writer: _serve(server, reader, writer), "127.0.0.1", 0
     )
-    port = server.sockets[0].getsockname()[1]
-    peer.address = f"127.0.0.1:{port}"
-    async with _connected() as targets:
-        yield peer, targets
-    server.close()
+    port = listener.sockets[0].getsockname()[1]
+    server.address = f"127.0.0.1:{port}"
+    async with _make_targets() as targets:
+        yield server, targets
+    listener.close()
 
 
 @contextlib.asynccontextmanager
-async def _connected() -> collections.abc.AsyncIterator[platform.Targets]:
+async def _make_targets() -> collections.abc.AsyncIterator[platform.Targets]:
     work = _http.make_client(
         max_clients=64,
         max_host_connections=_target_client.MAX_TARGET_CONNECTIONS,
@@ -108,7 +110,7 @@
         _http.close(status)
 
 
-async def _work(
+async def _send(
     targets: platform.Targets,
     address: str,
     request_id: str,
@@ -116,101 +118,101 @@
     payload: bytes = b"{}",
     timeout_s: float = _TIMEOUT_S,
 ) -> bytes | bool:
-    """Return the body of the answer, or whether a failed call was sent."""
+    """Return the response body, or whether a failed request was sent."""
     try:
-        answer = await targets.work(
+        response = await targets.work(
             address, request_id, 1, 7, payload, timeout_s, may_send
         )
     except errors.PlatformError as error:
         return error.sent
-    return answer.body
+    return response.body
 
 
-# What the requests a, b... one after the other come to, and the ids that the
-# peer has read.
+# Each case: the script, the results of the successive requests a, b, and the
+# request ids that the server must have read.
 _SCRIPTS = [
     pytest.param(
-        [["close_after_read"]], [True], ["a"], id="first_request_repeated"
+        [["close_after_read"]], [True], ["a"], id="close_after_first_request"
     ),
     pytest.param(
-        [[_ANSWER, "close_after_read"], [_ANSWER]],
+        [[_RESPONSE, "close_after_read"], [_RESPONSE]],
         [b"done", True],
         ["a", "b"],
-        id="request_on_reused_connection_repeated",
+        id="close_after_request_on_reused_connection",
     ),
     pytest.param(
-        [[_ANSWER, "close_unread"], [_ANSWER]],
+        [[_RESPONSE, "close_unread"], [_RESPONSE]],
         [b"done", True],
         ["a"],
-        id="request_on_reset_reused_connection_repeated",
+        id="reset_of_reused_connection",
     ),
     pytest.param(
-        [["close_unread"], [_ANSWER]],
+        [["close_unread"], [_RESPONSE]],
         [True],
         [],
-        id="request_on_reset_connection_called_unsent",
+        id="reset_of_new_connection",
     ),
     pytest.param(
-        [[_ANSWER], [_ANSWER]],
+        [[_RESPONSE], [_RESPONSE]],
         [b"done", b"done"],
         ["a", "b"],
-        id="closed_idle_connection_fails_request",
+        id="idle_connection_closed",
     ),
-    pytest.param([[_PARTIAL]], [True], ["a"], id="cut_answer_taken_for_whole"),
+    pytest.param([[_TRUNCATED]], [True], ["a"], id="truncated_response"),
     pytest.param(
-        [[_ENDLESS]], [True], ["a"], id="cut_chunked_answer_taken_for_whole"
+        [[_TRUNCATED_CHUNKED]], [True], ["a"], id="truncated_chunked_response"
     ),
-    pytest.param([["hang"]], [True], ["a"], id="timeout_called_unsent"),
+    pytest.param([["hang"]], [True], ["a"], id="timeout"),
     pytest.param(
-        [[_LEAVING], [_ANSWER]],
+        [[_LEAVING], [_RESPONSE]],
         [b"", b"done"],
         ["a", "b"],
-        id="leaving_answer_breaks_next_request",
-    ),
-    pytest.param(
-        [[b"no http at all"]], [True], ["a"], id="garbage_taken_for_answer"
+        id="request_after_leaving_response",
     ),
+    pytest.param([[b"no http at all"]], [True], ["a"], id="invalid_response"),
 ]
 
 
 @pytest.mark.parametrize(("script", "results", "ids"), _SCRIPTS)
-def test_sent_state(
+def test_failed_request_reports_whether_sent(
     script: list[list[bytes | str]],
     results: list[bytes | bool],
     ids: list[str],
 ) -> None:
+    """Guards against resent requests and a wrong `sent` after a failure."""
+
     async def scenario() -> None:
-        async with _playing(script) as (peer, targets):
+        async with _run_script(script) as (server, targets):
             timeout_s = _SHORT_TIMEOUT_S if ["hang"] in script else _TIMEOUT_S
             for number, expected in enumerate(results):
-                result = await _work(
+                result = await _send(
                     targets,
-                    peer.address,
+                    server.address,
                     "ab"[number],
                     timeout_s=timeout_s,
                 )
                 assert result == expected
-                # Lets the close of an idle connection arrive.
+                # Allows the close of an idle connection to arrive.
                 await asyncio.sleep(0.02)
-            # Lets a wrong repetition arrive.
+            # Allows an erroneous resend to arrive.
             await asyncio.sleep(0.1)
-            assert peer.ids == ids
+            assert server.ids == ids
 
     asyncio.run(scenario())
 
 
 def test_connection_is_reused_without_delay() -> None:
-    """New connections or Nagle's algorithm would slow down every request."""
+    """Guards against requests slowed by new connections or by Nagle."""
 
     async def scenario() -> None:
-        async with _playing([[_ANSWER] * 9]) as (peer, _targets):
+        async with _run_script([[_RESPONSE] * 9]) as (server, _targets):
             client = _http.make_client(max_clients=4)
             targets = platform.make_targets(
                 http_client=client, status_client=client
             )
             for number in range(9):
-                assert await _work(targets, peer.address, str(number))
-            assert peer.connections == 1
+                assert await _send(targets, server.address, str(number))
+            assert server.connections == 1
             (descriptor,) = client.sockets.values()
             with socket.socket(fileno=os.dup(descriptor)) as used:
                 assert used.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -219,49 +221,55 @@
     asyncio.run(scenario())
 
 
-def test_refused_connect_is_unsent() -> None:
-    """A request to a dead target could not be retried elsewhere."""
+def test_refused_connection_reports_unsent() -> None:
+    """Requests to a dead target must be reported unsent to be retried."""
 
     async def scenario() -> None:
-        asked: list[bool] = []
-        async with _connected() as targets:
-            result = await _work(
-                targets, "127.0.0.1:1", "a", lambda: asked.append(True) or True
+        checks: list[bool] = []
+        async with _make_targets() as targets:
+            result = await _send(
+                targets,
+                "127.0.0.1:1",
+                "a",
+                lambda: checks.append(True) or True,
             )
         assert result is False
-        assert not asked
+        assert not checks
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("reused", [False, True])
 def test_withheld_request_sends_no_byte(reused: bool) -> None:
-    """A process that lost its shard while paused would still send."""
+    """Guards against sends by a process that lost its shard while paused."""
 
     async def scenario() -> None:
-        async with _playing([[_ANSWER, _ANSWER], []]) as (peer, targets):
+        async with _run_script([[_RESPONSE, _RESPONSE], []]) as (
+            server,
+            targets,
+        ):
             if reused:
-                await _work(targets, peer.address, "a")
-            before = peer.bytes_in
-            result = await _work(targets, peer.address, "b", lambda: False)
+                await _send(targets, server.address, "a")
+            before = server.bytes_in
+            result = await _send(targets, server.address, "b", lambda: False)
             assert result is False
             await asyncio.sleep(0.05)
-            assert peer.bytes_in == before
-            assert "b" not in peer.ids
+            assert server.bytes_in == before
+            assert "b" not in server.ids
 
     asyncio.run(scenario())
 
 
-def test_error_in_may_send_withholds() -> None:
-    """A fault of the check would let the request through."""
+def test_error_in_may_send_withholds_request() -> None:
+    """Guards against a failing check that permits the request."""
 
     def fail() -> bool:
         raise ZeroDivisionError
 
     async def scenario() -> None:
-        async with _playing([[_ANSWER]]) as (peer, targets):
-            assert await _work(targets, peer.address, "a", fail) is False
-            assert not peer.ids
+        async with _run_script([[_RESPONSE]]) as (server, targets):
+            assert await _send(targets, server.address, "a", fail) is False
+            assert not server.ids
 
     asyncio.run(scenario())
 
@@ -269,13 +277,14 @@
 @pytest.mark.parametrize(
     "request_id",
     [
-        pytest.param("a b%20", id="percent_is_decoded_twice"),
-        pytest.param("a\r\nX-Epoch: 9", id="line_end_adds_header"),
-        pytest.param("Ω/😀", id="id_outside_latin_1_is_refused"),
-        pytest.param(" a ", id="spaces_are_stripped"),
+        pytest.param("a b%20", id="space_and_percent"),
+        pytest.param("a\r\nX-Epoch: 9", id="line_break"),
+        pytest.param("Ω/😀", id="characters_outside_latin_1"),
+        pytest.param(" a ", id="outer_spaces"),
     ],
 )
 def test_request_id_header(request_id: str) -> None:
+    """Guards against header injection, double decoding and lost spaces."""
     headers = _target_wire.encode_headers(request_id, 1, 2)
     header = headers[_target_wire.REQUEST_ID_HEADER]
     assert header.isascii() and header.isprintable()
@@ -293,20 +302,20 @@
         (500, {"X-Leaving": "1", "Connection": "close"}, False),
     ],
 )
-def test_leaving_sign(
+def test_is_leaving(
     status: int, headers: dict[str, str], leaving: bool
 ) -> None:
-    """A failed request would be run again as if it had been refused."""
+    """Guards against retrying a failed request as if it had not run."""
     assert _target_wire.is_leaving(status, headers) == leaving
 
 
 @contextlib.asynccontextmanager
-async def _runner() -> collections.abc.AsyncIterator[
+async def _serve_runner() -> collections.abc.AsyncIterator[
     tuple[runner.Endpoint, str, platform.Targets]
 ]:
     endpoint = runner.make_endpoint("runner-1")
     served = runner.listen(port=0, endpoint=endpoint)
-    async with _connected() as targets:
+    async with _make_targets() as targets:
         yield endpoint, f"127.0.0.1:{served.port}", targets
     await _serving.close(served)
 
@@ -314,59 +323,59 @@
 @pytest.mark.parametrize(
     ("payload", "status", "size"),
     [
-        pytest.param(b"{}", 200, 0, id="empty_answer"),
-        pytest.param(b'{"size":3000000}', 200, 3_000_000, id="large_answer"),
-        pytest.param(b'{"fail":true,"size":9}', 500, 9, id="failed_answer"),
+        pytest.param(b"{}", 200, 0, id="empty_response"),
+        pytest.param(b'{"size":3000000}', 200, 3_000_000, id="large_response"),
+        pytest.param(b'{"fail":true,"size":9}', 500, 9, id="error_response"),
     ],
 )
-def test_whole_answer(payload: bytes, status: int, size: int) -> None:
+def test_complete_response(payload: bytes, status: int, size: int) -> None:
     async def scenario() -> None:
-        async with _runner() as (_endpoint, address, targets):
-            answer = await targets.work(
+        async with _serve_runner() as (_endpoint, address, targets):
+            response = await targets.work(
                 address, "a\n1", 1, 7, payload, 5.0, lambda: True
             )
-            assert answer.status == status
-            assert answer.content_type == "application/json"
-            assert runner.check_answer(answer.body, "a\n1", size) == ""
-            assert not answer.leaving
+            assert response.status == status
+            assert response.content_type == "application/json"
+            assert runner.check_answer(response.body, "a\n1", size) == ""
+            assert not response.leaving
 
     asyncio.run(scenario())
 
 
 def test_large_payload_arrives() -> None:
-    """A payload beyond the socket's buffer would be cut."""
+    """Guards against truncating a payload larger than the socket buffer."""
 
     async def scenario() -> None:
         payload = b'{"size":5,"text":"' + b"x" * 3_000_000 + b'"}'
-        async with _runner() as (_endpoint, address, targets):
-            body = await _work(targets, address, "a", payload=payload)
+        async with _serve_runner() as (_endpoint, address, targets):
+            body = await _send(targets, address, "a", payload=payload)
             assert runner.check_answer(body, "a", 5) == ""
 
     asyncio.run(scenario())
 
 
-def test_leaving_target() -> None:
+def test_leaving_target_runs_nothing() -> None:
     async def scenario() -> None:
-        async with _runner() as (endpoint, address, targets):
+        async with _serve_runner() as (endpoint, address, targets):
             runner.control(endpoint, {"leaving": True})
-            answer = await targets.work(
+            response = await targets.work(
                 address, "a", 1, 7, b"{}", 1.0, lambda: True
             )
-            assert answer.leaving
+            assert response.leaving
             assert endpoint.state.runs == 0
 
     asyncio.run(scenario())
 
 
-def test_connections_stay_within_bounds() -> None:
-    """A burst above the slots would use up the target's connections."""
+def test_connections_stay_within_limit() -> None:
+    """Guards against a burst that uses up the target's connections."""
 
     async def scenario() -> None:
-        async with _runner() as (endpoint, address, targets):
+        async with _serve_runner() as (endpoint, address, targets):
             payload = b'{"run_ms":20}'
             bodies = await asyncio.gather(
                 *(
-                    _work(targets, address, f"r{n}", payload=payload)
+                    _send(targets, address, f"r{n}", payload=payload)
                     for n in range(40)
                 )
             )
@@ -381,26 +390,26 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("end", ["withdrawn", "cancelled"])
-def test_request_waiting_for_connection(end: str) -> None:
-    """A request that was taken back while it waited would still run."""
+@pytest.mark.parametrize("action", ["withdraw", "cancel"])
+def test_request_withdrawn_while_queued(action: str) -> None:
+    """Guards against running a request withdrawn while it was queued."""
 
     async def scenario() -> None:
-        async with _runner() as (endpoint, address, targets):
+        async with _serve_runner() as (endpoint, address, targets):
             allowed = [True]
             limit = _target_client.MAX_TARGET_CONNECTIONS
             first = [
                 asyncio.create_task(
-                    _work(targets, address, f"r{n}", payload=b'{"run_ms":100}')
+                    _send(targets, address, f"r{n}", payload=b'{"run_ms":100}')
                 )
                 for n in range(limit)
             ]
             await asyncio.sleep(0.03)
             waiting = asyncio.create_task(
-                _work(targets, address, "late", lambda: allowed[0])
+                _send(targets, address, "late", lambda: allowed[0])
             )
             await asyncio.sleep(0.03)
-            if end == "withdrawn":
+            if action == "withdraw":
                 allowed[0] = False
                 assert await waiting is False
             else:
@@ -416,16 +425,18 @@
 @pytest.mark.parametrize(
     ("path", "result"),
     [
-        pytest.param(runner.STATUS_PATH, 2, id="busy_slots_miscounted"),
-        pytest.param("/v1/none", None, id="error_status_taken_for_slots"),
+        pytest.param(runner.STATUS_PATH, 2, id="busy_slots"),
+        pytest.param("/v1/none", None, id="error_status"),
     ],
 )
 def test_busy_slots(path: str, result: int | None) -> None:
+    """Guards against miscounted slots and an error read as a count."""
+
     async def scenario() -> None:
-        async with _runner() as (_endpoint, address, targets):
+        async with _serve_runner() as (_endpoint, address, targets):
             running = [
                 asyncio.create_task(
-                    _work(targets, address, f"r{n}", payload=b'{"run_ms":80}')
+                    _send(targets, address, f"r{n}", payload=b'{"run_ms":80}')
                 )
                 for n in range(2)
             ]
@@ -444,35 +455,35 @@
     "body",
     [b"", b"[]", b"{}", b'{"busy":true}', b'{"busy":-1}', b'{"busy":"1"}'],
 )
-def test_malformed_status(body: bytes) -> None:
-    """A wrong number would be taken for free slots."""
+def test_malformed_status_is_rejected(body: bytes) -> None:
+    """Guards against a malformed status that is read as free slots."""
     with pytest.raises(errors.ProtocolError):
         _target_wire.decode_busy(body)
 
 
 def test_expired_deadline_sends_nothing() -> None:
-    """libcurl takes a timeout of 0 for none at all."""
+    """libcurl treats a timeout of 0 as no timeout."""
 
     async def scenario() -> None:
-        async with _playing([[_ANSWER]]) as (peer, targets):
+        async with _run_script([[_RESPONSE]]) as (server, targets):
             for timeout_s in (0.0, -1.0):
-                result: typing.Any = await _work(
-                    targets, peer.address, "a", timeout_s=timeout_s
+                result: typing.Any = await _send(
+                    targets, server.address, "a", timeout_s=timeout_s
                 )
                 assert result is False
-            assert peer.connections == 0
+            assert server.connections == 0
 
     asyncio.run(scenario())
 
 
 def test_no_request_is_sent_twice_under_faults() -> None:
-    """A lost answer would be retried, or a run called unsent."""
+    """Guards against retrying after a lost response or reporting it unsent."""
     rng = random.Random(5)
     requests, callers = 600, 12
     results: dict[str, bytes | bool] = {}
 
     async def scenario() -> None:
-        async with _runner() as (endpoint, address, targets):
+        async with _serve_runner() as (endpoint, address, targets):
             runner.control(
                 endpoint, {"close_idle": True, "close_after_read": 0.2}
             )
@@ -481,7 +492,7 @@
             async def call() -> None:
                 for number in waiting:
                     name = f"r{number}"
-                    results[name] = await _work(
+                    results[name] = await _send(
                         targets,
                         address,
                         name,
@@ -492,22 +503,22 @@
 
             await asyncio.gather(*(call() for _ in range(callers)))
             seen = endpoint.state.seen
-        kinds = {"answered": 0, "unknown": 0, "unsent": 0}
+        counts = {"answered": 0, "unknown": 0, "unsent": 0}
         for name, result in results.items():
             if isinstance(result, bytes):
-                kinds["answered"] += 1
+                counts["answered"] += 1
                 assert runner.check_answer(result, name, 50) == ""
                 assert seen[name] == 1
             elif result:
-                kinds["unknown"] += 1
+                counts["unknown"] += 1
                 assert seen[name] <= 1
             else:
-                kinds["unsent"] += 1
+                counts["unsent"] += 1
                 assert seen[name] == 0
-        assert sum(kinds.values()) == requests
-        assert all(count > requests / 20 for count in kinds.values()), kinds
-        # A fifth of those that were sent lose their answer; a few more may
-        # lose a race with the close of their connection.
-        assert kinds["unknown"] < requests / 4, kinds
+        assert sum(counts.values()) == requests
+        assert all(count > requests / 20 for count in counts.values()), counts
+        # A fifth of the sent requests lose their response. A few more may fail
+        # because their connection is closed at the same time.
+        assert counts["unknown"] < requests / 4, counts
 
     asyncio.run(scenario())
--- a/chestnuttide/platform/tests/test_worker_agent_client.py
+++ b/chestnuttide/platform/tests/test_worker_agent_client.py
@@ -16,11 +16,11 @@
 
 _TIMEOUT_S = 0.3
 _CAPACITY = model.Resources(cpu_millis=1000, memory_mb=100)
-_HALF = model.Resources(cpu_millis=500, memory_mb=10)
+_HALF_CPU = model.Resources(cpu_millis=500, memory_mb=10)
 
 
 @contextlib.asynccontextmanager
-async def _opened() -> collections.abc.AsyncIterator[
+async def _serve_agent() -> collections.abc.AsyncIterator[
     tuple[worker_agent.Endpoint, str, platform.WorkerAgent]
 ]:
     endpoint = worker_agent.make_endpoint("worker-1", _CAPACITY)
@@ -36,15 +36,15 @@
         await _serving.close(served)
 
 
-def _task(number: int = 1, payload: bytes = b"{}") -> platform.TaskStart:
+def _make_start(number: int = 1, payload: bytes = b"{}") -> platform.TaskStart:
     return platform.TaskStart(
         attempt=model.Attempt(job_id="j/Ω", index=0, number=number),
-        resources=_HALF,
+        resources=_HALF_CPU,
         payload=payload,
     )
 
 
-async def _outcomes(
+async def _start(
     agent: platform.WorkerAgent,
     address: str,
     *tasks: platform.TaskStart,
@@ -58,20 +58,25 @@
 
 
 def test_calls() -> None:
-    """The client and the agent would disagree on the wire format."""
+    """Guards against a client and an agent with different wire formats."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
-            tasks = [_task(), _task(), _task(2), _task(3)]
-            assert await _outcomes(agent, address, *tasks) == [
+        async with _serve_agent() as (endpoint, address, agent):
+            tasks = [
+                _make_start(),
+                _make_start(),
+                _make_start(2),
+                _make_start(3),
+            ]
+            assert await _start(agent, address, *tasks) == [
                 "started",
                 "running",
                 "started",
                 "no_capacity",
             ]
-            await agent.throttle(address, 1, [_task(2).attempt], 0.5)
-            assert endpoint.state.running[_task(2).attempt].share == 0.5
-            await agent.stop(address, 1, [_task().attempt], True)
+            await agent.throttle(address, 1, [_make_start(2).attempt], 0.5)
+            assert endpoint.state.running[_make_start(2).attempt].share == 0.5
+            await agent.stop(address, 1, [_make_start().attempt], True)
             result = await agent.sync(address, 1, 10.0, [], 0.0, 0)
             assert result.sequence == 1
             states = {
@@ -79,11 +84,11 @@
                 for report in result.reports
             }
             assert states == {
-                1: (model.TaskState.STOPPED, _HALF),
-                2: (model.TaskState.RUNNING, _HALF),
+                1: (model.TaskState.STOPPED, _HALF_CPU),
+                2: (model.TaskState.RUNNING, _HALF_CPU),
             }
             result = await agent.sync(
-                address, 1, 10.0, [_task().attempt], 0.0, 1
+                address, 1, 10.0, [_make_start().attempt], 0.0, 1
             )
             assert len(result.reports) == 1
 
@@ -97,45 +102,51 @@
             {"drop_answers": 1},
             errors.PlatformError,
             True,
-            id="lost_answer_has_no_effect",
+            id="lost_answer_after_start",
         ),
         pytest.param(
             {"refuse": True},
             errors.PlatformError,
             False,
-            id="refused_start_runs",
+            id="refused_start",
         ),
         pytest.param(
             {"partition": True},
             errors.PlatformError,
             False,
-            id="start_in_partition_runs",
+            id="start_in_partition",
+        ),
+        pytest.param(
+            {"delay_s": 0.05}, None, True, id="slow_start_within_timeout"
         ),
-        pytest.param({"delay_s": 0.05}, None, True, id="slow_start_fails"),
         pytest.param(
             {"drop_answers": 1, "drop_kinds": ["stop"]},
             None,
             True,
-            id="lost_answer_hits_other_kind",
+            id="lost_answer_for_other_kind",
         ),
     ],
 )
-def test_faults(
+def test_start_under_faults(
     switches: dict[str, typing.Any],
     error: type[Exception] | None,
     started: bool,
 ) -> None:
+    """Guards against a wrong effect of a start whose call failed."""
+
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
+        async with _serve_agent() as (endpoint, address, agent):
             worker_agent.control(endpoint, switches)
             if error is None:
-                assert await _outcomes(agent, address, _task()) == ["started"]
+                assert await _start(agent, address, _make_start()) == [
+                    "started"
+                ]
             else:
                 with pytest.raises(error) as caught:
-                    await _outcomes(agent, address, _task())
+                    await _start(agent, address, _make_start())
                 assert caught.value.sent
             worker_agent.control(endpoint, {"reset": True})
-            assert await _outcomes(agent, address, _task()) == [
+            assert await _start(agent, address, _make_start()) == [
                 "running" if started else "started"
             ]
             assert len(worker_agent.evidence(endpoint)["history"]) == 1
@@ -143,32 +154,32 @@
     asyncio.run(scenario())
 
 
-def test_delayed_start_lands_after_timeout() -> None:
-    """A scheduler must be ready for a start that lands after it gave up."""
+def test_delayed_start_takes_effect_after_timeout() -> None:
+    """A start whose call timed out may still take effect later."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
+        async with _serve_agent() as (endpoint, address, agent):
             worker_agent.control(endpoint, {"delay_s": _TIMEOUT_S + 0.1})
             with pytest.raises(errors.PlatformError):
-                await _outcomes(agent, address, _task())
+                await _start(agent, address, _make_start())
             assert not endpoint.state.running
             await asyncio.sleep(0.2)
-            assert list(endpoint.state.running) == [_task().attempt]
+            assert list(endpoint.state.running) == [_make_start().attempt]
 
     asyncio.run(scenario())
 
 
 def test_fail_all_and_kill_all() -> None:
-    """A worker that fails everything would not be ejected."""
+    """Guards against failures that go unreported and prevent ejection."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
+        async with _serve_agent() as (endpoint, address, agent):
             worker_agent.control(endpoint, {"fail_all": True})
-            await _outcomes(agent, address, _task())
+            await _start(agent, address, _make_start())
             result = await agent.sync(address, 1, 10.0, [], 1.0, 0)
             assert result.reports[0].state == model.TaskState.FAILED
             worker_agent.control(endpoint, {"reset": True})
-            await _outcomes(agent, address, _task(2))
+            await _start(agent, address, _make_start(2))
             worker_agent.control(endpoint, {"kill_all": True})
             result = await agent.sync(address, 1, 10.0, [], 1.0, 1)
             assert [report.state for report in result.reports] == [
@@ -180,15 +191,15 @@
 
 
 @pytest.mark.parametrize("call", ["start", "sync", "stop", "throttle"])
-def test_stale_epoch(call: str) -> None:
-    """A deposed owner would act on the worker."""
+def test_stale_epoch_is_rejected(call: str) -> None:
+    """Guards against a deposed owner that still controls the worker."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
-            attempt = _task().attempt
-            assert await _outcomes(agent, address, _task(), epoch=5)
+        async with _serve_agent() as (endpoint, address, agent):
+            attempt = _make_start().attempt
+            assert await _start(agent, address, _make_start(), epoch=5)
             arguments = {
-                "start": (4, 10.0, [_task(2)]),
+                "start": (4, 10.0, [_make_start(2)]),
                 "sync": (4, 99.0, [], 0.0, 0),
                 "stop": (4, [attempt], False),
                 "throttle": (4, [attempt], 0.1),
@@ -207,17 +218,19 @@
 @pytest.mark.parametrize(
     ("action", "limits"),
     [
-        pytest.param("end", (0.1, 0.35), id="end_wakes_no_sync"),
-        pytest.param("none", (0.6, 0.85), id="sync_ends_without_event"),
-        pytest.param("depose", (0.1, 0.35), id="old_sync_survives_new_epoch"),
+        pytest.param("complete", (0.1, 0.35), id="completion_wakes_sync"),
+        pytest.param("none", (0.6, 0.85), id="sync_waits_without_event"),
+        pytest.param("depose", (0.1, 0.35), id="new_epoch_ends_old_sync"),
     ],
 )
 def test_waiting_sync(action: str, limits: tuple[float, float]) -> None:
+    """Guards against a sync that misses its wake-up or ends too early."""
+
     async def scenario() -> None:
-        async with _opened() as (_endpoint, address, agent):
-            payload = b'{"run_s":0.1}' if action == "end" else b"{}"
-            await _outcomes(agent, address, _task(payload=payload))
-            begun = time.monotonic()
+        async with _serve_agent() as (_endpoint, address, agent):
+            payload = b'{"run_s":0.1}' if action == "complete" else b"{}"
+            await _start(agent, address, _make_start(payload=payload))
+            started_at = time.monotonic()
             waiting = asyncio.create_task(
                 agent.sync(address, 1, 10.0, [], 0.6, 0)
             )
@@ -228,23 +241,23 @@
                     await waiting
             else:
                 result = await waiting
-                assert result.sequence == (1 if action == "end" else 0)
-            assert limits[0] <= time.monotonic() - begun < limits[1]
+                assert result.sequence == (1 if action == "complete" else 0)
+            assert limits[0] <= time.monotonic() - started_at < limits[1]
 
     asyncio.run(scenario())
 
 
-def test_lease_lapses_without_calls() -> None:
-    """A task of an unreachable worker would run for ever."""
+def test_lease_expires_without_calls() -> None:
+    """Guards against tasks that run forever on an unreachable worker."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
-            await agent.start(address, 1, 0.1, [_task()])
+        async with _serve_agent() as (endpoint, address, agent):
+            await agent.start(address, 1, 0.1, [_make_start()])
             await asyncio.sleep(0.2)
             assert not endpoint.state.running
             (record,) = endpoint.state.history
             assert record["state"] == model.TaskState.LAPSED
-            # Wall times of this size have steps of 0.24 us.
+            # Current Unix times as floats have a resolution of 0.24 us.
             lease_s = record["end"] - record["start"]
             assert lease_s == pytest.approx(0.1, abs=1e-6)
             assert abs(record["end"] - time.time()) < 1.0
@@ -252,21 +265,21 @@
     asyncio.run(scenario())
 
 
-def test_partition_holds_waiting_sync() -> None:
-    """A partition would look like a crash, which ends calls at once."""
+def test_partition_leaves_sync_waiting() -> None:
+    """Unlike a crash, a partition does not end calls immediately."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
-            await _outcomes(agent, address, _task(payload=b'{"run_s":0.1}'))
+        async with _serve_agent() as (endpoint, address, agent):
+            await _start(agent, address, _make_start(payload=b'{"run_s":0.1}'))
             waiting = asyncio.create_task(
                 agent.sync(address, 1, 10.0, [], 0.2, 0)
             )
             await asyncio.sleep(0.05)
             worker_agent.control(endpoint, {"partition": True})
-            begun = time.monotonic()
+            started_at = time.monotonic()
             with pytest.raises(errors.PlatformError):
                 await waiting
-            assert time.monotonic() - begun >= _TIMEOUT_S
+            assert time.monotonic() - started_at >= _TIMEOUT_S
             worker_agent.control(endpoint, {"reset": True})
             result = await agent.sync(address, 1, 10.0, [], 0.0, 0)
             assert result.reports[0].state == model.TaskState.SUCCEEDED
@@ -274,12 +287,12 @@
     asyncio.run(scenario())
 
 
-def test_restarted_worker_answers_at_once() -> None:
-    """A sync after a sequence from before a restart would wait in vain."""
+def test_restarted_worker_answers_immediately() -> None:
+    """Guards against waiting on a sequence number from before a restart."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
-            await _outcomes(agent, address, _task())
+        async with _serve_agent() as (endpoint, address, agent):
+            await _start(agent, address, _make_start())
             worker_agent.control(endpoint, {"restart": True})
             result = await agent.sync(address, 1, 10.0, [], 5.0, 7)
             assert (result.sequence, result.reports) == (0, ())
@@ -307,22 +320,22 @@
         ),
     ],
 )
-def test_malformed_message(
+def test_malformed_message_is_rejected(
     decode: collections.abc.Callable[[bytes], object], body: bytes
 ) -> None:
-    """A malformed message would end the task that reads it."""
+    """Guards against other errors, which would end the reading task."""
     with pytest.raises(errors.ProtocolError):
         decode(body)
 
 
 @pytest.mark.parametrize("payload", [b'{"run_s":"x"}', b"[]", b"7"])
-def test_task_with_unusable_payload_fails(payload: bytes) -> None:
-    """A worker that refused it would keep back the rest of its start."""
+def test_task_with_invalid_payload_fails(payload: bytes) -> None:
+    """Guards against an invalid payload that blocks other tasks of a call."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
-            tasks = [_task(payload=payload), _task(2)]
-            assert await _outcomes(agent, address, *tasks) == [
+        async with _serve_agent() as (endpoint, address, agent):
+            tasks = [_make_start(payload=payload), _make_start(2)]
+            assert await _start(agent, address, *tasks) == [
                 "started",
                 "started",
             ]
@@ -331,18 +344,18 @@
                 report.attempt.number: report.state
                 for report in result.reports
             } == {1: model.TaskState.FAILED, 2: model.TaskState.RUNNING}
-            assert endpoint.state.used == _HALF
+            assert endpoint.state.used == _HALF_CPU
 
     asyncio.run(scenario())
 
 
-def test_payload_that_is_no_json_is_not_sent() -> None:
-    """The caller would wait for a start that no worker can decode."""
+def test_payload_that_is_not_json_is_not_sent() -> None:
+    """Guards against a start call that no worker can decode."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, address, agent):
+        async with _serve_agent() as (endpoint, address, agent):
             with pytest.raises(ValueError):
-                await _outcomes(agent, address, _task(payload=b"{"))
+                await _start(agent, address, _make_start(payload=b"{"))
             assert not endpoint.counts
 
     asyncio.run(scenario())
