--- /dev/null
+++ b/chestnuttide/node/_advisor_queries.py
@@ -0,0 +1,147 @@
+"""Queries to the policy advisor, spread over all instances.
+
+The advisor handles one call at a time from each instance. An owner therefore
+sends each query through an instance for which it has none in progress.
+"""
+
+import typing
+
+import xxhash
+
+from chestnuttide import errors
+from chestnuttide.node import _clock
+from chestnuttide.node import _messages
+from chestnuttide.node import _ownership
+from chestnuttide.node import _peers
+from chestnuttide import platform
+from chestnuttide import telemetry
+from chestnuttide import workloads
+
+LOG = telemetry.make_logger("advice")
+
+# Added to the time that a query takes according to its queue's policy, since
+# it may have to wait for another owner's query.
+TIMEOUT_MARGIN_S = 1.5
+RETRY_S = 0.2
+
+# The advisor answers an instance's queries in sequence, so a short query waits
+# for a long one before it. All owners therefore reserve the same share of the
+# instances for short queries.
+LONG_QUERY_S = 0.15
+SHORT_QUERY_INSTANCE_SHARE: typing.Final = 0.375
+
+
+def start_queries(
+    owner: _ownership.Ownership,
+    queries: tuple[workloads.Question, ...],
+) -> None:
+    """Start the queries for which an instance is free, in the given order."""
+    for query in queries:
+        name = _choose_instance(owner, query)
+        if name is None:
+            continue
+        workloads.note_question(query)
+        owner.advisor_queries[name] = owner.advisor_queries.get(name, 0) + 1
+        _ownership.start_command(owner, _send_query(owner, query, name))
+
+
+def _choose_instance(
+    owner: _ownership.Ownership, query: workloads.Question
+) -> str | None:
+    own = owner.session.settings.instance
+    candidates = sorted({own, *_peers.connected_names(owner.session.peers)})
+    reserved = max(1, round(SHORT_QUERY_INSTANCE_SHARE * len(candidates)))
+    if query.cost_s <= LONG_QUERY_S or len(candidates) == 1:
+        candidates = candidates[:reserved]
+    else:
+        candidates = candidates[reserved:]
+    if stable_hash(owner.service) % 2:
+        # Owners that start from opposite ends seldom choose the same one.
+        candidates.reverse()
+    name = min(candidates, key=lambda each: owner.advisor_queries.get(each, 0))
+    if owner.advisor_queries.get(name, 0):
+        return None
+    return name
+
+
+def stable_hash(text: str) -> int:
+    """Return a hash that is the same in all processes."""
+    return xxhash.xxh64_intdigest(text.encode())
+
+
+async def _send_query(
+    owner: _ownership.Ownership, query: workloads.Question, name: str
+) -> None:
+    step = f"{query.job.spec.id}.{query.occurrence}.{query.step}"
+    workers = tuple(worker.report.id for worker in query.workers)
+    message = {
+        "step": step,
+        "workers": workers[: platform.MAX_WORKERS_PER_CALL],
+        "timeout_s": query.cost_s + TIMEOUT_MARGIN_S,
+    }
+    tickets = None
+    age_s = 0.0
+    try:
+        if name == owner.session.settings.instance:
+            handler = owner.session.peers.handlers[_messages.AdvisorQuery]
+            reply = await handler(_messages.AdvisorQuery(call_id=0, **message))
+        else:
+            reply = await _peers.call(
+                owner.session.peers,
+                name,
+                lambda call_id: _messages.AdvisorQuery(
+                    call_id=call_id, **message
+                ),
+                timeout_s=message["timeout_s"] + _peers.CALL_TIMEOUT_S,
+            )
+        if reply.answered:
+            tickets = dict(reply.tickets)
+            age_s = reply.age_s
+    except errors.MeshError as error:
+        LOG.info(
+            "Peer did not answer the advisor query.",
+            peer=name,
+            error=str(error),
+        )
+    finally:
+        owner.advisor_queries[name] -= 1
+    LOG.info(
+        "Advisor query has ended.",
+        job=query.job.spec.id,
+        step=step,
+        by=name,
+        workers=len(workers),
+        good=-1 if tickets is None else len(tickets),
+    )
+    workloads.note_advice(
+        query, tickets, now=_clock.now() - age_s, retry_s=RETRY_S
+    )
+    owner.plan_requested.set()
+
+
+async def answer_query(
+    http: platform.HttpClient,
+    address: str,
+    message: _messages.AdvisorQuery,
+) -> _messages.AdvisorReply:
+    """Query the advisor for a peer or for an owner on this instance."""
+    try:
+        tickets = await platform.ask_advisor(
+            http,
+            address,
+            step=message.step,
+            workers=message.workers,
+            timeout_s=message.timeout_s,
+        )
+    except errors.PlatformError as error:
+        LOG.warning(
+            "Advisor did not answer.", step=message.step, error=str(error)
+        )
+        return _messages.AdvisorReply(
+            call_id=message.call_id, answered=False, tickets=()
+        )
+    return _messages.AdvisorReply(
+        call_id=message.call_id,
+        answered=True,
+        tickets=tuple(tickets.by_worker.items()),
+    )
--- a/chestnuttide/node/_claims.py
+++ b/chestnuttide/node/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of services that have no owner."""
+"""Claims of services without an owner."""
 
 import cbor2
 import xxhash
@@ -11,19 +11,20 @@
 
 LOG = telemetry.make_logger("session")
 
-# Each instance that ranks after another waits this much longer before it
-# claims a service, so that usually one write is made.
+# Each rank waits this much longer than the one before it claims a service, so
+# that usually only one instance writes a claim.
 CLAIM_STAGGER_S = 0.25
 
-# An instance that has just joined may not know the larger ones that start
-# with it. All instances start within 0.3 s; one of half a core waits longer
-# than that for the others, one of two cores hardly waits.
-NEW_MEMBER_S = 1.0
+# An instance that has just joined may not know larger ones that are starting
+# at the same time. All instances start within 0.3 s. One with half a core
+# waits longer than that, one with two cores hardly waits. The wait is given in
+# core-seconds and divided by the instance's cores.
+NEW_MEMBER_PERIOD_S = 1.0
 NEW_MEMBER_WAIT_CORE_S = 0.2
 
 
-def is_own(session: _session.Session, service: str) -> bool:
-    """Return whether this start of the daemon owns a service."""
+def owns_service(session: _session.Session, service: str) -> bool:
+    """Return whether this incarnation of the daemon owns a service."""
     owner = session.owners.get(service)
     return owner is not None and owner.incarnation == session.incarnation
 
@@ -40,7 +41,7 @@
     if session.settings.instance not in ranked:
         return False
     wait_s = ranked.index(session.settings.instance) * CLAIM_STAGGER_S
-    if now - session.joined_at < NEW_MEMBER_S:
+    if now - session.joined_at < NEW_MEMBER_PERIOD_S:
         wait_s += NEW_MEMBER_WAIT_CORE_S / session.settings.capacity.cores
     return now - since >= wait_s
 
@@ -48,13 +49,13 @@
 def rank_members(session: _session.Session, service: str) -> list[str]:
     """Return the members in the order in which they should claim a service.
 
-    An owner's work grows with its service, so larger instances come first.
-    The former owner is stopping, dead or cut off, so it comes last.
+    An owner's load grows with its service, so larger instances come first.
+    The former owner comes last, as it is stopping, dead or disconnected.
     """
     former_owner = session.former_owners.get(service)
     former = former_owner.instance if former_owner else ""
 
-    def order(name: str) -> tuple[bool, float, float, int]:
+    def rank_key(name: str) -> tuple[bool, float, float, int]:
         member = session.members[name]
         return (
             name == former,
@@ -63,19 +64,24 @@
             xxhash.xxh64_intdigest(f"{service}/{name}".encode()),
         )
 
-    return sorted(session.members, key=order)
+    return sorted(session.members, key=rank_key)
 
 
-def has_former_stopped(session: _session.Session, service: str) -> bool:
-    """Return whether a service's last owner has stopped in order."""
+def has_former_owner_stopped(session: _session.Session, service: str) -> bool:
+    """Return whether the last owner of a service has recorded its release."""
     former = session.former_owners.get(service)
-    return former is not None and session.released.get(service) == former.fence
+    return (
+        former is not None
+        and session.released.get(service) == former.fencing_token
+    )
 
 
 async def claim(
     session: _session.Session, service: str, *, replaced: int = 0
 ) -> None:
-    """Try to become the owner of a service; the watch shows the outcome.
+    """Try to become the owner of a service.
+
+    If the answer is lost, the watch of the cell shows the outcome.
 
     Parameters
     ----------
@@ -84,8 +90,8 @@
     service : str
         The service.
     replaced : int
-        Fencing token of an own ownership that has failed; 0 if the service
-        has no owner.
+        Fencing token of this instance's failed ownership that the claim
+        replaces; 0 if the service has no owner.
     """
     key = _keys.owner(service)
     value = cbor2.dumps([session.settings.instance, session.incarnation])
@@ -99,13 +105,13 @@
             ),
         )
     except errors.LeaseExpiredError:
-        LOG.warning("Claim failed: the lease has ended.", service=service)
+        LOG.warning("Claim failed: the lease has expired.", service=service)
         session.lease = 0
     except errors.SchedulerError as error:
-        # A claim whose answer was lost is seen by the watch.
+        # If only the answer was lost, the watch shows the claim.
         LOG.info("Claim failed.", service=service, error=str(error))
     else:
-        _session.apply_cell(
+        _session.apply_cell_item(
             session,
             platform.Item(key=key, value=value, revision=revision),
         )
--- a/chestnuttide/node/_orders.py
+++ b/chestnuttide/node/_commands.py
@@ -1,4 +1,4 @@
-"""Stops and speeds that an owner orders, and what rejections show."""
+"""Stop and throttle commands to workers, and handling of rejections."""
 
 from chestnuttide import errors
 from chestnuttide.node import _clock
@@ -9,60 +9,65 @@
 
 LOG = telemetry.make_logger("worker")
 
-# A worker answers within milliseconds; beyond this time the order is
-# uncertain, and the worker's lists decide.
-ORDER_TIMEOUT_S = 0.3
+# A worker replies within milliseconds. After this time the command's outcome
+# is unknown, and the run list of a later poll settles it.
+COMMAND_TIMEOUT_S = 0.3
 
-SILENT_PAUSE_S = 0.25
+# Pause before an unavailable worker is polled, or a unit is placed, again.
+WORKER_RETRY_PAUSE_S = 0.25
 
-STOP_REPEAT_S = 0.5
+STOP_RETRY_S = 0.5
 
 
-def address(worker: workloads.Worker) -> platform.WorkerAddress:
+def worker_address(worker: workloads.Worker) -> platform.WorkerAddress:
     return platform.WorkerAddress(
         id=worker.report.id, address=worker.report.address
     )
 
 
-def log_end(owner: _ownership.Ownership, run: workloads.Run, how: str) -> None:
-    owner.metrics.run_ends.inc({"how": how})
+def log_completion(
+    owner: _ownership.Ownership, run: workloads.Run, outcome: str
+) -> None:
+    owner.metrics.run_ends.inc({"how": outcome})
     LOG.info(
         "Run has ended.",
         job=run.job.spec.id,
         task=run.task,
         run=run.number,
-        how=how,
+        how=outcome,
         worker=run.worker_key,
         percent=run.percent,
         failures=run.unit.failures,
     )
 
 
-def end_run(owner: _ownership.Ownership, run: workloads.Run, how: str) -> None:
+def end_run(
+    owner: _ownership.Ownership, run: workloads.Run, outcome: str
+) -> None:
     if run not in run.unit.runs:
         return
-    run.unit.not_before = _clock.now() + SILENT_PAUSE_S
+    run.unit.not_before = _clock.now() + WORKER_RETRY_PAUSE_S
     workloads.end_run(
         owner.pool,
         run,
-        how,
+        outcome,
         "",
         now=_clock.now(),
         now_unix_s=_clock.unix_time(),
     )
-    log_end(owner, run, how)
-    owner.plan_wanted.set()
-    _ownership.want_commit(owner, urgent=False)
+    log_completion(owner, run, outcome)
+    owner.plan_requested.set()
+    _ownership.request_commit(owner, urgent=False)
 
 
-def lose_lifetime(
-    owner: _ownership.Ownership, worker: workloads.Worker, why: str
+def end_incarnation(
+    owner: _ownership.Ownership, worker: workloads.Worker, reason: str
 ) -> None:
-    """End all runs of a lifetime that is provably over."""
+    """End all runs of a worker incarnation that has certainly ended."""
     LOG.warning(
-        "Worker's lifetime is over.",
+        "Worker incarnation has ended.",
         worker=worker.key,
-        why=why,
+        why=reason,
         runs=len(worker.runs),
     )
     lost = workloads.end_lifetime(
@@ -72,33 +77,35 @@
         now_unix_s=_clock.unix_time(),
     )
     for run in lost:
-        log_end(owner, run, "lost")
-    owner.plan_wanted.set()
-    _ownership.want_commit(owner, urgent=False)
+        log_completion(owner, run, "lost")
+    owner.plan_requested.set()
+    _ownership.request_commit(owner, urgent=False)
 
 
-def note_rejection(
+def handle_rejection(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     reply: platform.OrderReply,
     kind: str,
 ) -> None:
-    owner.metrics.orders.inc(
+    owner.metrics.commands.inc(
         {"kind": kind, "outcome": f"{reply.status} {reply.reason}".strip()}
     )
     if reply.status == 409 and reply.reason == "fence":
         LOG.warning(
-            "Deposed by a worker's fence.",
+            "Deposed: a worker has seen a higher fencing token.",
             service=owner.service,
             worker=worker.key,
-            fence=owner.fence,
+            fence=owner.fencing_token,
         )
         owner.deposed.set()
     elif reply.status == 421:
-        lose_lifetime(owner, worker, "another lifetime has its address")
+        end_incarnation(
+            owner, worker, "its address belongs to another incarnation"
+        )
     else:
         LOG.info(
-            "Order was rejected.",
+            "Command was rejected.",
             kind=kind,
             worker=worker.key,
             status=reply.status,
@@ -106,8 +113,10 @@
         )
 
 
-def send_stops(owner: _ownership.Ownership, worker: workloads.Worker) -> None:
-    """Send, and repeat, the stops that are wanted on a worker."""
+def send_due_stops(
+    owner: _ownership.Ownership, worker: workloads.Worker
+) -> None:
+    """Send the stops that are due on a worker, and resend unanswered ones."""
     now = _clock.now()
     for run in worker.runs.values():
         uncertain = run.phase == workloads.Phase.UNCERTAIN
@@ -115,12 +124,14 @@
             continue
         if run.phase == workloads.Phase.PLANNED:
             continue
-        if now - run.stop_sent_at >= STOP_REPEAT_S:
+        if now - run.stop_sent_at >= STOP_RETRY_S:
             run.stop_sent_at = now
-            _ownership.start_order(owner, order_stop(owner, worker, run))
+            _ownership.start_command(
+                owner, stop_run_on_worker(owner, worker, run)
+            )
 
 
-async def order_stop(
+async def stop_run_on_worker(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     run: workloads.Run,
@@ -135,19 +146,19 @@
     task: str,
     number: int,
 ) -> bool:
-    """Stop a run; return whether the worker has answered that it will."""
+    """Send a stop; return whether the worker has acknowledged it."""
     try:
         reply = await platform.stop_run(
             owner.workers_http,
-            address(worker),
+            worker_address(worker),
             task=task,
             run=number,
-            fence=owner.fence,
-            timeout_s=ORDER_TIMEOUT_S,
-            may_send=lambda: _ownership.may_order(owner),
+            fence=owner.fencing_token,
+            timeout_s=COMMAND_TIMEOUT_S,
+            may_send=lambda: _ownership.may_send_commands(owner),
         )
     except errors.PlatformError as error:
-        # The next look lists the run again, and the stop is repeated.
+        # The next poll lists the run again, and the stop is resent.
         LOG.info(
             "Stop was not answered.",
             task=task,
@@ -157,13 +168,13 @@
         )
         return False
     if reply.status != 200:
-        note_rejection(owner, worker, reply, "stop")
+        handle_rejection(owner, worker, reply, "stop")
         return False
-    owner.metrics.orders.inc({"kind": "stop", "outcome": "200"})
+    owner.metrics.commands.inc({"kind": "stop", "outcome": "200"})
     return True
 
 
-async def stop_unknown(
+async def stop_unknown_run(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     task: str,
@@ -172,7 +183,7 @@
     await _send_stop(owner, worker, task, number)
 
 
-async def order_pace(
+async def throttle_run(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     run: workloads.Run,
@@ -182,21 +193,25 @@
     try:
         reply = await platform.pace_run(
             owner.workers_http,
-            address(worker),
+            worker_address(worker),
             task=run.task,
             run=run.number,
             percent=percent,
-            fence=owner.fence,
-            timeout_s=ORDER_TIMEOUT_S,
-            may_send=lambda: _ownership.may_order(owner),
+            fence=owner.fencing_token,
+            timeout_s=COMMAND_TIMEOUT_S,
+            may_send=lambda: _ownership.may_send_commands(owner),
         )
     except errors.PlatformError as error:
-        # Sent again after the next look.
+        # Resent after the next poll.
         run.paced_percent = -1
-        LOG.info("Pace was not answered.", task=run.task, error=str(error))
+        LOG.info(
+            "Throttle command was not answered.",
+            task=run.task,
+            error=str(error),
+        )
         return
     LOG.info(
-        "Run is paced.",
+        "Throttle command was answered.",
         task=run.task,
         percent=percent,
         worker=worker.key,
@@ -204,4 +219,4 @@
     )
     if reply.status != 200:
         run.paced_percent = -1
-        note_rejection(owner, worker, reply, "pace")
+        handle_rejection(owner, worker, reply, "pace")
--- a/chestnuttide/node/_commits.py
+++ b/chestnuttide/node/_commits.py
@@ -1,4 +1,4 @@
-"""Storing of what an owner has decided, many jobs in one transaction."""
+"""Commits of an owner's decisions, with many jobs in one transaction."""
 
 import asyncio
 import collections.abc
@@ -16,38 +16,38 @@
 
 LOG = telemetry.make_logger("commit")
 
-# Changes of this time share a transaction. Nobody waits for the end of a
-# single task, so ends are gathered for longer than starts. While the store is
-# slow they are gathered for some of its answers, because a job's next start
-# waits for the change that is being stored.
+# Changes made within this delay share a transaction. No caller waits for the
+# completion of a single task, so completions are batched for longer than
+# starts. While the store is slow, the delay is a multiple of its latency,
+# because a job's next start waits for the commit in progress anyway.
 URGENT_DELAY_S = 0.002
 DELAY_S = 0.02
-SLOW_ANSWER_S = 0.05
-SLOW_DELAY_ANSWERS = 2.0
+SLOW_COMMIT_S = 0.05
+SLOW_DELAY_COMMITS = 2.0
 MAX_DELAY_S = 0.6
 
 RETRY_PAUSE_S = 0.05
 
-# Rounds under way at once. A round takes one answer of the store.
-MAX_ROUNDS = 32
+# Concurrent commit rounds. A round takes one round trip to the store.
+MAX_COMMIT_ROUNDS = 32
 
-# A live job takes its expectation and its put, an ended one a put and a
-# removal; one entry is the owner's own expectation.
+# A live job takes one precondition and one put, an ended job one put and one
+# removal. One further entry of a transaction checks the owner's key.
 _ENTRIES_PER_JOB = 2
 
 
 @attrs.frozen(kw_only=True, slots=True, eq=False)
 class _Batch:
-    """One transaction and what it stores.
+    """A transaction and the changes that it stores.
 
     Attributes
     ----------
     transaction : Transaction
         The transaction.
     jobs : tuple of (Job, JobState, int)
-        Its jobs, with the state and the change that it stores.
+        Its jobs, each with the state and the change number that it stores.
     planned : tuple of Run
-        Runs that may be ordered once it is stored.
+        Runs that may be started once it is stored.
     """
 
     transaction: platform.Transaction
@@ -55,18 +55,18 @@
     planned: tuple[workloads.Run, ...]
 
 
-async def run(owner: _ownership.Ownership) -> None:
+async def commit_loop(owner: _ownership.Ownership) -> None:
     """Store changed records until the ownership ends.
 
-    Rounds overlap, so that a slow store delays each change by one answer and
-    not by those of the changes before it.
+    Rounds overlap, so that a slow store delays each change by one round trip
+    and not by those of the changes before it.
     """
     while not owner.deposed.is_set():
-        await owner.commit_wanted.wait()
-        await _gather_changes(owner)
-        owner.commit_wanted.clear()
+        await owner.commit_requested.wait()
+        await _collect_changes(owner)
+        owner.commit_requested.clear()
         owner.commit_urgent = False
-        while len(owner.rounds) >= MAX_ROUNDS:
+        while len(owner.rounds) >= MAX_COMMIT_ROUNDS:
             await asyncio.wait(
                 owner.rounds, return_when=asyncio.FIRST_COMPLETED
             )
@@ -75,11 +75,11 @@
         task.add_done_callback(owner.rounds.discard)
 
 
-async def _gather_changes(owner: _ownership.Ownership) -> None:
-    """Wait for further changes, but not once somebody waits for one."""
+async def _collect_changes(owner: _ownership.Ownership) -> None:
+    """Wait for further changes to batch, unless a commit is urgent."""
     delay_s = DELAY_S
-    if owner.answer_s > SLOW_ANSWER_S:
-        delay_s = min(MAX_DELAY_S, SLOW_DELAY_ANSWERS * owner.answer_s)
+    if owner.store_latency_s > SLOW_COMMIT_S:
+        delay_s = min(MAX_DELAY_S, SLOW_DELAY_COMMITS * owner.store_latency_s)
     until = _clock.now() + delay_s
     while not owner.commit_urgent and _clock.now() < until:
         await asyncio.sleep(DELAY_S)
@@ -87,7 +87,7 @@
 
 
 async def commit_all(owner: _ownership.Ownership) -> None:
-    """Store all changed records and wait for the rounds under way."""
+    """Wait for the rounds in progress, then store all changed records."""
     if owner.rounds:
         await asyncio.wait(owner.rounds)
     await _commit_round(owner)
@@ -96,8 +96,8 @@
 async def _commit_round(owner: _ownership.Ownership) -> None:
     """Store the records that are dirty now.
 
-    A live job whose former change is being stored waits for the next round,
-    which follows that change. The end of a job waits for nothing.
+    A live job with a commit in progress waits for a later round. A job that
+    has ended never waits.
     """
     dirty = [
         job
@@ -114,7 +114,7 @@
         *(_commit_jobs(owner, jobs, ended=True) for jobs in _chunks(ended)),
     )
     if owner.removals and not owner.deposed.is_set():
-        await _remove_old(owner)
+        await _remove_old_records(owner)
 
 
 def _has_ended(job: workloads.Job) -> bool:
@@ -124,19 +124,19 @@
 def _chunks(
     jobs: list[workloads.Job],
 ) -> collections.abc.Iterator[list[workloads.Job]]:
-    """Return the jobs in groups that fit a transaction."""
+    """Yield the jobs in groups that fit into one transaction."""
     size = (platform.MAX_TRANSACTION_ENTRIES - 1) // _ENTRIES_PER_JOB
-    for begin in range(0, len(jobs), size):
-        yield jobs[begin : begin + size]
+    for start in range(0, len(jobs), size):
+        yield jobs[start : start + size]
 
 
 async def _commit_jobs(
     owner: _ownership.Ownership, jobs: list[workloads.Job], *, ended: bool
 ) -> None:
-    """Store some live jobs, or some ended ones.
+    """Store a group of jobs that are all live or all ended.
 
-    A live job may end before this coroutine begins, so what the jobs were
-    when they were chosen is an argument.
+    A live job may end before this coroutine runs, so `ended` tells which of
+    the two the jobs were when the group was formed.
     """
     try:
         await _commit_until_stored(owner, jobs, ended=ended)
@@ -144,7 +144,7 @@
         if not ended:
             owner.storing.difference_update(job.spec.id for job in jobs)
         if any(job.dirty for job in jobs):
-            owner.commit_wanted.set()
+            owner.commit_requested.set()
 
 
 async def _commit_until_stored(
@@ -152,7 +152,7 @@
 ) -> None:
     unanswered = False
     while not owner.deposed.is_set():
-        # A job that has ended meanwhile is stored by its own transaction.
+        # A job that has ended since is stored by another transaction.
         jobs = [job for job in jobs if _has_ended(job) == ended]
         if not jobs:
             return
@@ -181,7 +181,7 @@
             await asyncio.sleep(RETRY_PAUSE_S)
             continue
         owner.confirmed_at = max(owner.confirmed_at, sent_at)
-        owner.answer_s = _clock.now() - sent_at
+        owner.store_latency_s = _clock.now() - sent_at
         if unanswered:
             LOG.info("Commits succeed again.", service=owner.service)
         apply_batch(owner, batch, revision)
@@ -191,8 +191,8 @@
 def make_batch(
     owner: _ownership.Ownership, jobs: list[workloads.Job]
 ) -> _Batch:
-    """Return the transaction that stores some jobs as they are now."""
-    expect = {_keys.owner(owner.service): owner.fence}
+    """Return the transaction that stores the jobs' current state."""
+    expect = {_keys.owner(owner.service): owner.fencing_token}
     put: dict[str, bytes] = {}
     remove: list[str] = []
     planned: list[workloads.Run] = []
@@ -204,10 +204,10 @@
             )
             remove.append(progress)
         else:
-            # An unanswered transaction may take effect seconds later; with
-            # the revision of the record it cannot replace a newer one. A
-            # job's first record may still appear after the job's end; a
-            # takeover ignores records of jobs that have ended.
+            # An unanswered transaction may take effect seconds later. The
+            # expected revision keeps it from replacing a newer record. A
+            # job's first record may still appear after the job has ended; a
+            # takeover ignores progress records of ended jobs.
             expect[progress] = job.progress_revision
             put[progress] = workloads.encode_progress(job)
             planned.extend(
@@ -230,19 +230,19 @@
     jobs: list[workloads.Job],
     items: tuple[platform.Item, ...],
 ) -> bool:
-    """Take over the records' revisions after a lost answer.
+    """Adopt the stored revisions after the answer to a commit was lost.
 
     Returns
     -------
     bool
-        False if this instance is not the owner any longer.
+        False if this instance is no longer the owner.
     """
     revisions = {item.key: item.revision for item in items}
-    if revisions.get(_keys.owner(owner.service)) != owner.fence:
+    if revisions.get(_keys.owner(owner.service)) != owner.fencing_token:
         LOG.warning(
-            "Deposed by a commit's condition.",
+            "Deposed: a commit found another owner.",
             service=owner.service,
-            fence=owner.fence,
+            fence=owner.fencing_token,
         )
         owner.deposed.set()
         return False
@@ -256,12 +256,12 @@
 def apply_batch(
     owner: _ownership.Ownership, batch: _Batch, revision: int
 ) -> None:
-    """Show and order what a transaction has stored."""
+    """Publish the states that a transaction stored and start its runs."""
     for job, state, change in batch.jobs:
         job.stored_change = max(job.stored_change, change)
         ended = state in workloads.TERMINAL_STATES
         if job.shown_state in workloads.TERMINAL_STATES and not ended:
-            # Stored after the end; an ended job needs no such record.
+            # Stored after the job ended, and no longer needed.
             owner.removals.append(_keys.progress(owner.service, job.spec.id))
             continue
         job.progress_revision = 0 if ended else revision
@@ -282,15 +282,17 @@
     for run in batch.planned:
         run.recorded = True
     for job, _, _ in batch.jobs:
-        order_recorded(owner, job)
+        start_recorded_runs(owner, job)
     for worker in owner.pool.workers.values():
         workloads.note_stored(worker)
     owner.committed.set()
     owner.committed = asyncio.Event()
 
 
-def order_recorded(owner: _ownership.Ownership, job: workloads.Job) -> None:
-    """Order the runs of a job that is stored, if their record is, too."""
+def start_recorded_runs(
+    owner: _ownership.Ownership, job: workloads.Job
+) -> None:
+    """Start the planned runs of an accepted job whose record is stored."""
     if not job.accepted:
         return
     for unit in job.units.values():
@@ -301,21 +303,21 @@
                 and not run.stopping
             ):
                 run.phase = workloads.Phase.ORDERED
-                _ownership.start_order(owner, _starts.order_start(owner, run))
+                _ownership.start_command(owner, _starts.start_run(owner, run))
 
 
-async def _remove_old(owner: _ownership.Ownership) -> None:
-    """Remove the records of jobs whose state need not be shown any more."""
+async def _remove_old_records(owner: _ownership.Ownership) -> None:
+    """Remove records of jobs whose state callers may no longer query."""
     limit = platform.MAX_TRANSACTION_ENTRIES - 1
     keys, owner.removals = owner.removals[:limit], owner.removals[limit:]
     try:
         await platform.commit(
             owner.store,
             platform.Transaction(
-                expect={_keys.owner(owner.service): owner.fence},
+                expect={_keys.owner(owner.service): owner.fencing_token},
                 remove=tuple(keys),
             ),
         )
     except errors.SchedulerError as error:
-        # They are found again by the next owner.
+        # The next owner finds them again.
         LOG.info("Old jobs were not removed.", error=str(error))
--- a/chestnuttide/node/_daemon.py
+++ b/chestnuttide/node/_daemon.py
@@ -12,12 +12,10 @@
 from tornado import httputil
 
 from chestnuttide import errors
-from chestnuttide.node import _advice_calls
-from chestnuttide.node import _answers
+from chestnuttide.node import _advisor_queries
 from chestnuttide.node import _claims
 from chestnuttide.node import _clock
-from chestnuttide.node import _front
-from chestnuttide.node import _intake
+from chestnuttide.node import _dispatch
 from chestnuttide.node import _lookups
 from chestnuttide.node import _messages
 from chestnuttide.node import _metrics
@@ -25,9 +23,11 @@
 from chestnuttide.node import _ownership
 from chestnuttide.node import _peers
 from chestnuttide.node import _release
+from chestnuttide.node import _responses
 from chestnuttide.node import _session
 from chestnuttide.node import _settings
 from chestnuttide.node import _submission
+from chestnuttide.node import _updates
 from chestnuttide import platform
 from chestnuttide import telemetry
 from chestnuttide import workloads
@@ -38,8 +38,8 @@
 STORE_TIMEOUT_S = 0.7
 
 # Transfers at once: a look and some orders for each worker.
-WORKER_CLIENTS = 1000
-STORE_CLIENTS = 100
+MAX_WORKER_TRANSFERS = 1000
+MAX_STORE_TRANSFERS = 100
 
 # Connections to one worker: its look, and orders beside it.
 CONNECTIONS_PER_WORKER = 4
@@ -49,7 +49,7 @@
 
 # The balancer takes an instance out of rotation after two missed checks, one
 # a second; until then new connections still arrive.
-ROTATION_S = 2.6
+ROTATION_PERIOD_S = 2.6
 
 # Time kept free between the last answer and SIGKILL.
 STOP_MARGIN_S = 0.5
@@ -66,7 +66,7 @@
     ----------
     session : Session
         The instance's view of the cell.
-    front : Front
+    context : Front
         The callers' handlers.
     owned : dict of str to Ownership
         Services that this instance owns.
@@ -79,7 +79,7 @@
     """
 
     session: _session.Session
-    front: _answers.Front
+    context: _responses.ApiContext
     owned: dict[str, _ownership.Ownership]
     workers_http: platform.HttpClient
     metrics: _metrics.NodeMetrics
@@ -128,7 +128,7 @@
         instance=settings.instance, data_centre=settings.data_centre
     )
     store = platform.KvStore(
-        http=platform.make_client(max_clients=STORE_CLIENTS),
+        http=platform.make_client(max_clients=MAX_STORE_TRANSFERS),
         address=settings.store.address,
         timeout_s=STORE_TIMEOUT_S,
         count=_metrics.store_counter(metrics),
@@ -140,19 +140,21 @@
         incarnation=secrets.token_hex(8),
     )
     owned: dict[str, _ownership.Ownership] = {}
-    front = _answers.Front(session=session, owned=owned, metrics=metrics)
+    context = _responses.ApiContext(
+        session=session, owned=owned, metrics=metrics
+    )
     workers_http = platform.make_client(
-        max_clients=WORKER_CLIENTS,
+        max_clients=MAX_WORKER_TRANSFERS,
         max_host_connections=CONNECTIONS_PER_WORKER,
     )
     daemon = Daemon(
         session=session,
-        front=front,
+        context=context,
         owned=owned,
         workers_http=workers_http,
         metrics=metrics,
     )
-    peers.answers.update(_make_answers(daemon, settings))
+    peers.handlers.update(_make_handlers(daemon, settings))
     port = await _peers.listen(
         peers, ip=settings.ip, ports=settings.mesh_ports
     )
@@ -160,19 +162,19 @@
     return daemon
 
 
-def _make_answers(
+def _make_handlers(
     daemon: Daemon, settings: _settings.NodeSettings
-) -> dict[type, _peers.Answer]:
-    advice_http = platform.make_client(max_clients=STORE_CLIENTS)
+) -> dict[type, _peers.Handler]:
+    advice_http = platform.make_client(max_clients=MAX_STORE_TRANSFERS)
 
     async def state(message: _messages.StateRead) -> object:
-        return _lookups.answer_state(daemon.front, message)
+        return _lookups.answer_state(daemon.context, message)
 
     async def pending(message: _messages.PendingRead) -> object:
-        return _lookups.answer_pending(daemon.front, message)
+        return _lookups.answer_pending(daemon.context, message)
 
-    async def advice(message: _messages.AdviceAsk) -> object:
-        return await _advice_calls.answer_ask(
+    async def advice(message: _messages.AdvisorQuery) -> object:
+        return await _advisor_queries.answer_query(
             advice_http, settings.advisor or "", message
         )
 
@@ -182,23 +184,23 @@
     async def write(message: _messages.JobWrite) -> object:
         outcome = "refused"
         if not daemon.session.store.failing_since:
-            outcome = await _submission.write_job(daemon.front, message)
+            outcome = await _submission.write_job(daemon.context, message)
         return _messages.JobWriteReply(
             call_id=message.call_id, outcome=outcome
         )
 
     async def notice(message: _messages.JobNotice) -> None:
-        _intake.take_notice(daemon.owned.get(message.service), message)
+        _updates.apply_job_notice(daemon.owned.get(message.service), message)
 
     async def release(message: _messages.Release) -> object:
-        return await _release.release(daemon.session, message)
+        return await _release.release_for_peer(daemon.session, message)
 
     return {
         _messages.JobNotice: notice,
         _messages.Release: release,
         _messages.StateRead: state,
         _messages.PendingRead: pending,
-        _messages.AdviceAsk: advice,
+        _messages.AdvisorQuery: advice,
         _messages.CellRead: cell,
         _messages.JobWrite: write,
     }
@@ -207,7 +209,7 @@
 def _listen(
     daemon: Daemon, settings: _settings.NodeSettings
 ) -> list[httpserver.HTTPServer]:
-    callers = httpserver.HTTPServer(_front.make_callback(daemon.front))
+    callers = httpserver.HTTPServer(_dispatch.make_callback(daemon.context))
     ip, port = _settings.split_address(settings.listen.callers)
     callers.listen(port, address=ip)
 
@@ -215,11 +217,13 @@
         ready = (
             daemon.session.config is not None and not daemon.session.stopping
         )
-        _write(request, 200 if ready else 503, b"{}", "application/json")
+        _write_response(
+            request, 200 if ready else 503, b"{}", "application/json"
+        )
 
     def show_metrics(request: httputil.HTTPServerRequest) -> None:
         body, content_type = telemetry.render(daemon.metrics.registry)
-        _write(request, 200, body, content_type)
+        _write_response(request, 200, body, content_type)
 
     readiness = httpserver.HTTPServer(is_ready)
     ip, port = _settings.split_address(settings.listen.readiness)
@@ -229,7 +233,7 @@
     return [callers, readiness, metrics]
 
 
-def _write(
+def _write_response(
     request: httputil.HTTPServerRequest,
     status: int,
     body: bytes,
@@ -296,9 +300,9 @@
 ) -> None:
     session = daemon.session
     owned = daemon.owned.get(service)
-    gained = _claims.is_own(session, service) and not session.stopping
-    fence = session.owners[service].fence if gained else 0
-    if owned is not None and owned.fence != fence:
+    gained = _claims.owns_service(session, service) and not session.stopping
+    fence = session.owners[service].fencing_token if gained else 0
+    if owned is not None and owned.fencing_token != fence:
         if not session.stopping and session.cell_known:
             owned.deposed.set()
     task = running.get(service)
@@ -307,28 +311,30 @@
     daemon.owned.pop(service, None)
     if not gained:
         return
-    if session.failed_fences.get(service) == fence:
+    if session.failed_fencing_tokens.get(service) == fence:
         # Another try to replace the failed ownership.
         running[service] = asyncio.ensure_future(
             _claims.claim(session, service, replaced=fence)
         )
         return
-    if owned is not None and owned.fence == fence:
+    if owned is not None and owned.fencing_token == fence:
         LOG.warning("Ownership has failed.", service=service, fence=fence)
-        session.failed_fences[service] = fence
+        session.failed_fencing_tokens[service] = fence
         return
     owner = _ownership.Ownership(
         service=service,
-        fence=fence,
+        fencing_token=fence,
         session=session,
         store=session.store,
         workers_http=daemon.workers_http,
         pool=_make_pool(session.settings, service),
         metrics=daemon.metrics,
-        former_stopped=_claims.has_former_stopped(session, service),
+        former_owner_stopped=_claims.has_former_owner_stopped(
+            session, service
+        ),
     )
     daemon.owned[service] = owner
-    running[service] = asyncio.ensure_future(_owner.own(owner))
+    running[service] = asyncio.ensure_future(_owner.run_ownership(owner))
 
 
 def _make_pool(
@@ -367,22 +373,22 @@
     began = _clock.now()
     session = daemon.session
     session.stopping = True
-    daemon.front.stopping = True
+    daemon.context.stopping = True
     limit = began + settings.bounds.grace_s - STOP_MARGIN_S
-    daemon.front.answer_by = limit - ANSWER_MARGIN_S
+    daemon.context.response_deadline = limit - ANSWER_MARGIN_S
     LOG.info("Stopping.", owned=sorted(daemon.owned))
     await asyncio.gather(
         *(_release.hand_over(owner) for owner in daemon.owned.values())
     )
-    await asyncio.sleep(max(0.0, ROTATION_S - (_clock.now() - began)))
+    await asyncio.sleep(max(0.0, ROTATION_PERIOD_S - (_clock.now() - began)))
     servers[0].stop()
-    while daemon.front.in_flight and _clock.now() < limit:
+    while daemon.context.in_flight and _clock.now() < limit:
         await asyncio.sleep(CLAIM_PERIOD_S / 2)
     for task in daemon.tasks:
         task.cancel()
     await _session.leave(session)
     LOG.info(
         "Stopped.",
-        unanswered=daemon.front.in_flight,
+        unanswered=daemon.context.in_flight,
         seconds=round(_clock.now() - began, 2),
     )
--- a/chestnuttide/node/_lookups.py
+++ b/chestnuttide/node/_lookups.py
@@ -1,74 +1,74 @@
-"""States of jobs and lengths of queues, from their owner or the store."""
+"""Lookups of job states and queue lengths, in their owner or the store."""
 
 import attrs
 
 from chestnuttide import errors
-from chestnuttide.node import _answers
 from chestnuttide.node import _clock
 from chestnuttide.node import _keys
 from chestnuttide.node import _messages
 from chestnuttide.node import _ownership
 from chestnuttide.node import _peers
+from chestnuttide.node import _responses
 from chestnuttide import platform
 from chestnuttide import telemetry
 from chestnuttide import workloads
 
 LOG = telemetry.make_logger("front")
 
-# The queue's length may be 2 s old.
-PENDING_AGE_S = 1.0
+# Lifetime of a cached queue length. Callers may be shown one 2 s old.
+PENDING_CACHE_S = 1.0
 
 
-async def show(
-    front: _answers.Front, queue: workloads.Queue, job_id: str
-) -> _answers.Answer:
-    reply = await _owner_state(front, queue.service, job_id)
+async def get_state(
+    context: _responses.ApiContext, queue: workloads.Queue, job_id: str
+) -> _responses.Response:
+    reply = await _fetch_owner_state(context, queue.service, job_id)
     if reply is not None and reply.state:
         if reply.queue != queue.name:
-            return _answers.unknown_job("state", job_id)
-        return _answers.Answer(
+            return _responses.unknown_job("state", job_id)
+        return _responses.Response(
             status=200,
-            body={"state": _SHOWN_STATES[reply.state]},
+            body={"state": _API_STATES[reply.state]},
             call="state",
             job=job_id,
             inputs={"state": reply.state},
         )
     try:
-        state = await _read_state(front, queue, job_id)
+        state = await _read_state(context, queue, job_id)
     except errors.SchedulerError as error:
-        return _answers.refuse(
+        return _responses.make_refusal(
             "state",
             503,
             "store_unavailable",
             f"The state is not known: {error}",
             job=job_id,
-            retry_after_s=_answers.RETRY_AFTER_S,
+            retry_after_s=_responses.RETRY_AFTER_S,
         )
     if not state:
-        return _answers.unknown_job("state", job_id)
-    return _answers.Answer(
+        return _responses.unknown_job("state", job_id)
+    return _responses.Response(
         status=200,
-        body={"state": _SHOWN_STATES[state]},
+        body={"state": _API_STATES[state]},
         call="state",
         job=job_id,
         inputs={"state": state, "source": "store"},
     )
 
 
-async def _owner_state(
-    front: _answers.Front, service: str, job_id: str
+async def _fetch_owner_state(
+    context: _responses.ApiContext, service: str, job_id: str
 ) -> _messages.StateReply | None:
-    """Return what the service's owner knows of a job, or None."""
-    owner = front.session.owners.get(service)
+    """Return the state of a job from its service's owner, or None."""
+    owner = context.session.owners.get(service)
     if owner is None:
         return None
     message = _messages.StateRead(call_id=0, service=service, job_id=job_id)
-    if owner.incarnation == front.session.incarnation:
-        reply = answer_state(front, message)
+    if owner.incarnation == context.session.incarnation:
+        reply = answer_state(context, message)
     else:
         try:
             reply = await _peers.call(
-                front.session.peers,
+                context.session.peers,
                 owner.instance,
                 lambda call_id: attrs.evolve(message, call_id=call_id),
             )
@@ -79,11 +79,15 @@
 
 
 def answer_state(
-    front: _answers.Front, message: _messages.StateRead
+    context: _responses.ApiContext, message: _messages.StateRead
 ) -> _messages.StateReply:
-    """Return what this instance knows of a job as its owner."""
-    owner = front.owned.get(message.service)
-    owned = owner is not None and owner.ready and _ownership.may_order(owner)
+    """Return the state of a job that this instance may own."""
+    owner = context.owned.get(message.service)
+    owned = (
+        owner is not None
+        and owner.ready
+        and _ownership.may_send_commands(owner)
+    )
     job = owner.pool.jobs.get(message.job_id) if owned else None
     state = queue = ""
     if job is not None and job.accepted:
@@ -96,7 +100,7 @@
     )
 
 
-_SHOWN_STATES = {
+_API_STATES = {
     workloads.JobState.QUEUED: "queued",
     workloads.JobState.RUNNING: "running",
     workloads.JobState.COMPLETE: "complete",
@@ -106,16 +110,18 @@
 
 
 async def _read_state(
-    front: _answers.Front, queue: workloads.Queue, job_id: str
+    context: _responses.ApiContext, queue: workloads.Queue, job_id: str
 ) -> str:
-    """Return a job's state by the store; empty if there is none."""
+    """Return a job's state from the store; empty if there is no such job."""
     services = [queue.service]
     services += [
-        each for each in front.session.config.services if each != queue.service
+        each
+        for each in context.session.config.services
+        if each != queue.service
     ]
     for service in services:
         item = await platform.read_key(
-            front.session.store, _keys.job(service, job_id)
+            context.session.store, _keys.job(service, job_id)
         )
         if item is None:
             continue
@@ -125,47 +131,49 @@
         if record.queue.name != queue.name:
             return ""
         progress = await platform.read_key(
-            front.session.store, _keys.progress(service, job_id)
+            context.session.store, _keys.progress(service, job_id)
         )
         return "queued" if progress is None else "running"
     return ""
 
 
 async def count_pending(
-    front: _answers.Front, queue: workloads.Queue
-) -> _answers.Answer:
+    context: _responses.ApiContext, queue: workloads.Queue
+) -> _responses.Response:
     key = (queue.service, queue.name)
-    counted_at, count = front.pending.get(key, (-1e9, 0))
-    if _clock.now() - counted_at > PENDING_AGE_S:
-        fresh = await _owner_pending(front, queue)
+    counted_at, count = context.pending.get(key, (-1e9, 0))
+    if _clock.now() - counted_at > PENDING_CACHE_S:
+        fresh = await _fetch_owner_pending(context, queue)
         if fresh is None:
-            return _answers.refuse(
+            return _responses.make_refusal(
                 "pending",
                 503,
                 "no_owner",
                 "The queue's owner does not answer. Come back later.",
-                retry_after_s=_answers.RETRY_AFTER_S,
+                retry_after_s=_responses.RETRY_AFTER_S,
             )
         count = fresh
-        front.pending[key] = (_clock.now(), count)
-    return _answers.Answer(status=200, body={"pending": count}, call="pending")
+        context.pending[key] = (_clock.now(), count)
+    return _responses.Response(
+        status=200, body={"pending": count}, call="pending"
+    )
 
 
-async def _owner_pending(
-    front: _answers.Front, queue: workloads.Queue
+async def _fetch_owner_pending(
+    context: _responses.ApiContext, queue: workloads.Queue
 ) -> int | None:
-    owner = front.session.owners.get(queue.service)
+    owner = context.session.owners.get(queue.service)
     if owner is None:
         return None
     message = _messages.PendingRead(
         call_id=0, service=queue.service, queue=queue.name
     )
-    if owner.incarnation == front.session.incarnation:
-        reply = answer_pending(front, message)
+    if owner.incarnation == context.session.incarnation:
+        reply = answer_pending(context, message)
     else:
         try:
             reply = await _peers.call(
-                front.session.peers,
+                context.session.peers,
                 owner.instance,
                 lambda call_id: attrs.evolve(message, call_id=call_id),
             )
@@ -176,11 +184,15 @@
 
 
 def answer_pending(
-    front: _answers.Front, message: _messages.PendingRead
+    context: _responses.ApiContext, message: _messages.PendingRead
 ) -> _messages.PendingReply:
-    """Return the length of a queue that this instance owns."""
-    owner = front.owned.get(message.service)
-    owned = owner is not None and owner.ready and _ownership.may_order(owner)
+    """Return the length of a queue that this instance may own."""
+    owner = context.owned.get(message.service)
+    owned = (
+        owner is not None
+        and owner.ready
+        and _ownership.may_send_commands(owner)
+    )
     count = 0
     if owned:
         count = sum(
--- a/chestnuttide/node/_main.py
+++ b/chestnuttide/node/_main.py
@@ -12,7 +12,7 @@
 LOG = telemetry.make_logger("main")
 
 # Exit status when the settings cannot be used.
-BAD_SETTINGS = 2
+BAD_SETTINGS_STATUS = 2
 
 
 def main() -> int:
@@ -22,7 +22,7 @@
     except errors.SettingsError as error:
         telemetry.configure_logging("info", "", "node", sys.stdout)
         LOG.error("Settings are unusable.", error=str(error))
-        return BAD_SETTINGS
+        return BAD_SETTINGS_STATUS
     metrics = _metrics.make_metrics()
     telemetry.configure_bounded_logging(
         settings.log_level,
--- a/chestnuttide/node/_messages.py
+++ b/chestnuttide/node/_messages.py
@@ -87,7 +87,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class AdviceAsk:
+class AdvisorQuery:
     """Asks an instance to call the advisor.
 
     Attributes
@@ -109,7 +109,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class AdviceReply:
+class AdvisorReply:
     """The advisor's answer.
 
     Attributes
@@ -235,13 +235,13 @@
         Number of the call.
     service : str
         Service that is given up.
-    fence : int
+    fencing_token : int
         Fencing token of the ownership.
     """
 
     call_id: int
     service: str
-    fence: int
+    fencing_token: int
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -266,8 +266,8 @@
     StateReply,
     PendingRead,
     PendingReply,
-    AdviceAsk,
-    AdviceReply,
+    AdvisorQuery,
+    AdvisorReply,
     CellRead,
     CellReply,
     JobNotice,
--- a/chestnuttide/node/_metrics.py
+++ b/chestnuttide/node/_metrics.py
@@ -41,7 +41,7 @@
         ``chestnuttide_store_calls_total{kind,outcome}``.
     run_ends : Counter
         ``chestnuttide_run_ends_total{how}``.
-    orders : Counter
+    commands : Counter
         ``chestnuttide_orders_total{kind,outcome}``.
     start_wait_seconds : Histogram
         ``chestnuttide_start_wait_seconds{queue}``, from a job's arrival at
@@ -58,7 +58,7 @@
     retries: aioprometheus.Counter
     store_calls: aioprometheus.Counter
     run_ends: aioprometheus.Counter
-    orders: aioprometheus.Counter
+    commands: aioprometheus.Counter
     start_wait_seconds: aioprometheus.Histogram
     job_seconds: aioprometheus.Histogram
     dropped_log_lines: aioprometheus.Counter
@@ -88,7 +88,7 @@
         retries=counter("retries", "Attempts made again, by reason."),
         store_calls=counter("store_calls", "Calls to the store."),
         run_ends=counter("run_ends", "Ends of runs, by how."),
-        orders=counter("orders", "Orders to workers, by outcome."),
+        commands=counter("orders", "Orders to workers, by outcome."),
         start_wait_seconds=histogram(
             "start_wait_seconds", "Seconds until a job's first start."
         ),
--- a/chestnuttide/node/_owner.py
+++ b/chestnuttide/node/_owner.py
@@ -1,53 +1,57 @@
-"""Ownership of a service: takeover, and the loops that carry it."""
+"""Ownership of a service: its takeover and the owner's loops."""
 
 import asyncio
 
 from chestnuttide import errors
-from chestnuttide.node import _advice_calls
+from chestnuttide.node import _advisor_queries
 from chestnuttide.node import _clock
+from chestnuttide.node import _commands
 from chestnuttide.node import _commits
-from chestnuttide.node import _intake
 from chestnuttide.node import _keys
-from chestnuttide.node import _looks
-from chestnuttide.node import _orders
 from chestnuttide.node import _ownership
+from chestnuttide.node import _polls
 from chestnuttide.node import _release
 from chestnuttide.node import _session
+from chestnuttide.node import _updates
 from chestnuttide import platform
 from chestnuttide import telemetry
 from chestnuttide import workloads
 
 LOG = telemetry.make_logger("owner")
 
-# Supervision looks at all runs at this rate.
-TICK_S = 0.1
+# Period of the checks for due, stalled and misplaced runs.
+SUPERVISION_PERIOD_S = 0.1
 
 TAKEOVER_RETRY_S = 0.1
 
-# Ended jobs are kept for this long beyond the time that callers may ask.
+# Ended jobs are kept for this long after callers may no longer query them.
 STATUS_MARGIN_S = 30.0
 
-# A job that was announced and not stored within this time is forgotten; its
-# caller got no answer, or a refusal.
-ANNOUNCED_S = 5.0
+# A job that was announced but not stored within this time is dropped. Its
+# caller got a refusal or no answer.
+ANNOUNCED_JOB_LIMIT_S = 5.0
 
-# Jobs and cancellations are told by their instances; the watch makes good
-# what was lost, and may gather changes for this long.
-GATHER_S = 0.3
+# Instances notify the owner of jobs and cancellations directly. The watch only
+# recovers lost notices, so it may batch changes for this long.
+WATCH_BATCH_S = 0.3
 
 
-async def own(owner: _ownership.Ownership) -> None:
-    """Own a service until deposed; never raises."""
+async def run_ownership(owner: _ownership.Ownership) -> None:
+    """Run a service as its owner until deposed; never raises."""
     loops: list[asyncio.Task[None]] = []
     began = _clock.now()
-    LOG.info("Takeover begins.", service=owner.service, fence=owner.fence)
+    LOG.info(
+        "Takeover has started.",
+        service=owner.service,
+        fence=owner.fencing_token,
+    )
     try:
         if not await _take_over(owner):
             return
         LOG.info(
             "Takeover is complete.",
             service=owner.service,
-            fence=owner.fence,
+            fence=owner.fencing_token,
             jobs=len(owner.pool.active),
             workers=len(owner.pool.workers),
             seconds=round(_clock.now() - began, 3),
@@ -55,11 +59,11 @@
         loops = [
             asyncio.ensure_future(each)
             for each in (
-                _commits.run(owner),
+                _commits.commit_loop(owner),
                 _plan_loop(owner),
-                _tick_loop(owner),
-                _follow_work(owner),
-                _follow_workers(owner),
+                _supervision_loop(owner),
+                _watch_work(owner),
+                _watch_workers(owner),
                 _release.confirm_loop(owner),
             )
         ]
@@ -79,17 +83,19 @@
         LOG.exception("Ownership has failed.", service=owner.service)
     finally:
         owner.deposed.set()
-        # Orders and looks under way end by themselves; none follows them.
+        # Commands and polls in progress end by themselves and start no others.
         for task in loops:
             task.cancel()
         await asyncio.gather(*loops, return_exceptions=True)
         LOG.info(
-            "Ownership has ended.", service=owner.service, fence=owner.fence
+            "Ownership has ended.",
+            service=owner.service,
+            fence=owner.fencing_token,
         )
 
 
 async def _take_over(owner: _ownership.Ownership) -> bool:
-    """Rebuild the pool from the store; return False if deposed."""
+    """Load the pool from the store; return False if deposed."""
     while not owner.deposed.is_set():
         sent_at = _clock.now()
         try:
@@ -100,7 +106,7 @@
             )
         except errors.SchedulerError as error:
             LOG.warning(
-                "Takeover cannot read; trying again.",
+                "Takeover cannot read the store; trying again.",
                 service=owner.service,
                 error=str(error),
             )
@@ -108,43 +114,43 @@
             continue
         owner.confirmed_at = sent_at
         for item in workers.items:
-            _intake.apply_worker(owner, item)
+            _updates.apply_worker_entry(owner, item)
         for item in work.items:
-            _intake.apply_job(owner, item)
+            _updates.apply_job(owner, item)
         known = {item.key for item in work.items}
         for item in progress.items:
             job_id = item.key.removeprefix(_keys.progress(owner.service))
             if _keys.job(owner.service, job_id) in known:
-                _intake.apply_progress(owner, item)
-        _intake.apply_work(owner, work.items)
+                _updates.apply_progress(owner, item)
+        _updates.apply_work_items(owner, work.items)
         for worker in list(owner.pool.workers.values()):
             if worker.listed:
-                # Records may name lifetimes that ended before the takeover.
-                _intake.end_former_lifetimes(owner, worker)
+                # Records may name incarnations that ended before the takeover.
+                _updates.end_former_incarnations(owner, worker)
         for worker in list(owner.pool.workers.values()):
-            _looks.ensure_hold_loop(owner, worker)
-        owner.plan_wanted.set()
+            _polls.ensure_poll_loop(owner, worker)
+        owner.plan_requested.set()
         owner.ready = True
         return True
     return False
 
 
-async def _follow_work(owner: _ownership.Ownership) -> None:
-    await _session.follow(
+async def _watch_work(owner: _ownership.Ownership) -> None:
+    await _session.watch_prefix(
         owner.session,
         _keys.work(owner.service),
-        on_list=lambda items: _intake.apply_work(owner, items),
-        on_item=lambda item: _intake.apply_work(owner, (item,)),
+        on_list=lambda items: _updates.apply_work_items(owner, items),
+        on_item=lambda item: _updates.apply_work_items(owner, (item,)),
         on_working=lambda working: None,
-        pause_s=GATHER_S,
+        pause_s=WATCH_BATCH_S,
     )
 
 
-async def _follow_workers(owner: _ownership.Ownership) -> None:
+async def _watch_workers(owner: _ownership.Ownership) -> None:
     def on_item(item: platform.Item) -> None:
-        worker = _intake.apply_worker(owner, item)
+        worker = _updates.apply_worker_entry(owner, item)
         if worker is not None:
-            _looks.ensure_hold_loop(owner, worker)
+            _polls.ensure_poll_loop(owner, worker)
 
     def on_list(items: tuple[platform.Item, ...]) -> None:
         names = {item.key.removeprefix(_keys.WORKERS) for item in items}
@@ -154,7 +160,7 @@
         for item in items:
             on_item(item)
 
-    await _session.follow(
+    await _session.watch_prefix(
         owner.session,
         _keys.WORKERS,
         on_list=on_list,
@@ -165,22 +171,22 @@
 
 async def _plan_loop(owner: _ownership.Ownership) -> None:
     while True:
-        await owner.plan_wanted.wait()
-        owner.plan_wanted.clear()
-        if owner.stopping or not _ownership.may_order(owner):
-            await asyncio.sleep(TICK_S)
+        await owner.plan_requested.wait()
+        owner.plan_requested.clear()
+        if owner.stopping or not _ownership.may_send_commands(owner):
+            await asyncio.sleep(SUPERVISION_PERIOD_S)
             continue
         plan = workloads.make_plan(owner.pool, now=_clock.now())
         if plan.runs:
-            _ownership.want_commit(owner, urgent=True)
-        _advice_calls.ask(owner, plan.questions)
-        # Lets the events of one loop iteration share a plan.
+            _ownership.request_commit(owner, urgent=True)
+        _advisor_queries.start_queries(owner, plan.questions)
+        # Lets all events of one iteration of the event loop share a plan.
         await asyncio.sleep(0)
 
 
-async def _tick_loop(owner: _ownership.Ownership) -> None:
+async def _supervision_loop(owner: _ownership.Ownership) -> None:
     while True:
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(SUPERVISION_PERIOD_S)
         _supervise(owner)
 
 
@@ -203,7 +209,7 @@
         )
     for run in workloads.find_stalled(owner.pool, now=now):
         LOG.warning(
-            "Run stands still; stopping it.",
+            "Run makes no progress; stopping it.",
             job=run.job.spec.id,
             task=run.task,
             run=run.number,
@@ -215,21 +221,21 @@
     moved = workloads.evacuate(owner.pool, now=now, stop_s=bounds.stop_s)
     for run in moved:
         LOG.info(
-            "Run leaves a draining worker.",
+            "Run is moved off a draining worker.",
             job=run.job.spec.id,
             task=run.task,
             worker=run.worker_key,
         )
     for worker in owner.pool.workers.values():
-        _orders.send_stops(owner, worker)
-    _forget_announced(owner, now)
-    _forget_ended(owner, unix_time)
-    owner.plan_wanted.set()
+        _commands.send_due_stops(owner, worker)
+    _drop_unstored_jobs(owner, now)
+    _drop_ended_jobs(owner, unix_time)
+    owner.plan_requested.set()
 
 
-def _forget_announced(owner: _ownership.Ownership, now: float) -> None:
+def _drop_unstored_jobs(owner: _ownership.Ownership, now: float) -> None:
     for job in list(owner.pool.active.values()):
-        if not job.accepted and now - job.accepted_at > ANNOUNCED_S:
+        if not job.accepted and now - job.accepted_at > ANNOUNCED_JOB_LIMIT_S:
             for unit in job.units.values():
                 workloads.stop_runs(owner.pool, unit)
             if job.progress_revision:
@@ -237,10 +243,12 @@
                 owner.removals.append(key)
             del owner.pool.active[job.spec.id]
             del owner.pool.jobs[job.spec.id]
-            LOG.info("Announced job was not stored.", job=job.spec.id)
+            LOG.info(
+                "Announced job was not stored; dropping it.", job=job.spec.id
+            )
 
 
-def _forget_ended(owner: _ownership.Ownership, unix_time: float) -> None:
+def _drop_ended_jobs(owner: _ownership.Ownership, unix_time: float) -> None:
     keep_s = owner.session.settings.bounds.status_s + STATUS_MARGIN_S
     old = [
         job_id
@@ -254,4 +262,4 @@
         owner.removals.append(_keys.job(owner.service, job_id))
         owner.removals.append(_keys.cancel(owner.service, job_id))
     if old:
-        _ownership.want_commit(owner, urgent=False)
+        _ownership.request_commit(owner, urgent=False)
--- a/chestnuttide/node/_ownership.py
+++ b/chestnuttide/node/_ownership.py
@@ -1,4 +1,4 @@
-"""State of an instance's ownership of one service."""
+"""State that an instance keeps for a service it owns."""
 
 import asyncio
 import collections.abc
@@ -11,75 +11,77 @@
 from chestnuttide import platform
 from chestnuttide import workloads
 
-# An owner that has not heard from the store for this long sends no more
-# orders. Until then it keeps the workers' leases alive, so that work goes on
-# through a short outage of the store.
+# An owner that has had no confirmation from the store for this long sends no
+# more commands. Until then it renews the leases of its runs, so that work
+# continues through a short outage of the store.
 AUTHORITY_S = 5.0
 
-# Lease of runs at their workers. It outlasts a takeover: the owner's lease,
-# the reads, and the first hold. A shorter one would return the work of a
-# dead worker sooner.
+# Lease of runs on their workers. It outlasts a takeover: the expiry of the
+# owner's lease, the reads, and the first poll. With a shorter lease, the work
+# of a dead worker would be placed again sooner.
 RUN_LEASE_S = 2.5
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Ownership:
-    """All that the owner of a service needs.
+    """State of the owner of a service.
 
     Attributes
     ----------
     service : str
         The service.
-    fence : int
-        Fencing token of its orders.
+    fencing_token : int
+        Fencing token of its commands.
     session : Session
-        The instance's presence in the store.
+        The instance's membership and its view of the cell.
     store : KvStore
         The store.
     workers_http : HttpClient
         Client of the workers.
     pool : Pool
-        The decisions' state.
+        Workers and jobs that decisions are based on.
     metrics : Metrics
         Counters and histograms.
     confirmed_at : float
-        Time at which a call was sent that showed the ownership.
+        Send time of the last call to the store that confirmed the ownership.
     deposed : asyncio.Event
         Set when another instance may have taken over.
-    commit_wanted : asyncio.Event
-        Set when a record has to be stored.
+    commit_requested : asyncio.Event
+        Set when records have changed and have to be stored.
     commit_urgent : bool
-        Whether a start or an answer waits for the next commit.
+        Whether a start or a caller waits for the next commit.
     rounds : set of Task
-        Rounds of commits under way.
+        Commit rounds in progress.
     storing : set of str
-        Live jobs whose progress is being stored.
-    answer_s : float
-        Time that the store took for its last answered commit.
+        Ids of live jobs whose progress is being stored.
+    store_latency_s : float
+        Time that the store took for the last answered commit, in seconds.
     committed : asyncio.Event
-        Set after each commit, and replaced.
-    plan_wanted : asyncio.Event
-        Set when something can be placed.
-    hold_loops : dict of str to Task
-        Loop of each worker lifetime.
-    orders : set of Task
-        Orders under way.
-    advisors_busy : dict of str to int
-        Calls to the advisor under way, by instance.
+        Set after each commit and replaced by a new event.
+    plan_requested : asyncio.Event
+        Set when planning may place work.
+    poll_loops : dict of str to Task
+        Poll loop of each worker incarnation.
+    commands : set of Task
+        Commands in progress.
+    advisor_queries : dict of str to int
+        Number of advisor queries in progress, by instance.
     removals : list of str
-        Keys of jobs whose state need not be kept any longer.
+        Keys of records that can be removed from the store.
     ready : bool
         Whether the takeover is complete.
     releasing : bool
-        Whether a peer is asked to end the ownership; nothing is ordered.
-    former_stopped : bool
-        Whether the former owner had stopped ordering before this one began.
+        Whether a peer is being asked to end the ownership; no command is
+        sent meanwhile.
+    former_owner_stopped : bool
+        Whether the former owner sent its last command before this ownership
+        started.
     stopping : bool
-        Whether no new run is planned because the instance leaves.
+        Whether no new run is planned because the instance is shutting down.
     """
 
     service: str
-    fence: int
+    fencing_token: int
     session: _session.Session
     store: platform.KvStore
     workers_http: platform.HttpClient
@@ -87,28 +89,28 @@
     metrics: _metrics.NodeMetrics
     confirmed_at: float = 0.0
     deposed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    commit_wanted: asyncio.Event = attrs.field(factory=asyncio.Event)
+    commit_requested: asyncio.Event = attrs.field(factory=asyncio.Event)
     commit_urgent: bool = False
     rounds: set[asyncio.Task[None]] = attrs.field(factory=set)
     storing: set[str] = attrs.field(factory=set)
-    answer_s: float = 0.0
+    store_latency_s: float = 0.0
     committed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    plan_wanted: asyncio.Event = attrs.field(factory=asyncio.Event)
-    hold_loops: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
-    orders: set[asyncio.Task[None]] = attrs.field(factory=set)
-    advisors_busy: dict[str, int] = attrs.field(factory=dict)
+    plan_requested: asyncio.Event = attrs.field(factory=asyncio.Event)
+    poll_loops: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
+    commands: set[asyncio.Task[None]] = attrs.field(factory=set)
+    advisor_queries: dict[str, int] = attrs.field(factory=dict)
     removals: list[str] = attrs.field(factory=list)
     ready: bool = False
     releasing: bool = False
-    former_stopped: bool = False
+    former_owner_stopped: bool = False
     stopping: bool = False
 
 
-def may_order(owner: Ownership) -> bool:
-    """Return whether an order may leave now.
+def may_send_commands(owner: Ownership) -> bool:
+    """Return whether a command may be sent now.
 
-    Checked right before each send, so that a process that was paused sends
-    nothing on an old belief.
+    This is checked right before each send, so that a process that was paused
+    sends nothing based on an outdated ownership.
     """
     return (
         not owner.deposed.is_set()
@@ -117,16 +119,16 @@
     )
 
 
-def want_commit(owner: Ownership, *, urgent: bool) -> None:
-    """Have the changed records stored soon."""
+def request_commit(owner: Ownership, *, urgent: bool) -> None:
+    """Request that changed records are stored soon."""
     owner.commit_urgent = owner.commit_urgent or urgent
-    owner.commit_wanted.set()
+    owner.commit_requested.set()
 
 
-def start_order(
-    owner: Ownership, order: collections.abc.Coroutine[None, None, None]
+def start_command(
+    owner: Ownership, command: collections.abc.Coroutine[None, None, None]
 ) -> None:
-    """Run an order in the background until it or the ownership ends."""
-    task = asyncio.ensure_future(order)
-    owner.orders.add(task)
-    task.add_done_callback(owner.orders.discard)
+    """Run a command in the background and keep a reference to its task."""
+    task = asyncio.ensure_future(command)
+    owner.commands.add(task)
+    task.add_done_callback(owner.commands.discard)
--- a/chestnuttide/node/_peers.py
+++ b/chestnuttide/node/_peers.py
@@ -20,7 +20,7 @@
 # slowed machine.
 CALL_TIMEOUT_S = 0.5
 
-Answer = collections.abc.Callable[[object], collections.abc.Awaitable[object]]
+Handler = collections.abc.Callable[[object], collections.abc.Awaitable[object]]
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
@@ -35,7 +35,7 @@
         The connections.
     calls : Calls
         Calls that wait for their replies.
-    answers : dict of type to function
+    handlers : dict of type to function
         Coroutine function that answers each class of calls.
     tasks : set of Task
         Answers under way.
@@ -44,7 +44,7 @@
     instance: str
     network: mesh.Network
     calls: mesh.Calls
-    answers: dict[type, Answer] = attrs.field(factory=dict)
+    handlers: dict[type, Handler] = attrs.field(factory=dict)
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
 
@@ -163,24 +163,24 @@
 def _receive(
     peers: Peers, connection: mesh.Connection, message: object
 ) -> None:
-    answer = peers.answers.get(type(message))
-    if answer is None:
+    handler = peers.handlers.get(type(message))
+    if handler is None:
         if not hasattr(message, "call_id"):
             LOG.warning("Unexpected message.", kind=type(message).__name__)
             return
         if not mesh.resolve(peers.calls, connection, message):
             LOG.debug("Late reply dropped.", peer=connection.peer.sender)
         return
-    task = asyncio.ensure_future(_answer(connection, answer, message))
+    task = asyncio.ensure_future(_handle_call(connection, handler, message))
     peers.tasks.add(task)
     task.add_done_callback(peers.tasks.discard)
 
 
-async def _answer(
-    connection: mesh.Connection, answer: Answer, message: object
+async def _handle_call(
+    connection: mesh.Connection, handler: Handler, message: object
 ) -> None:
     try:
-        reply = await answer(message)
+        reply = await handler(message)
         if reply is None:
             return
         mesh.send_if_possible(connection, reply)
--- /dev/null
+++ b/chestnuttide/node/_polls.py
@@ -0,0 +1,237 @@
+"""Poll loops of an owner: worker leases, run lists and restarts."""
+
+import asyncio
+
+from chestnuttide import errors
+from chestnuttide.node import _clock
+from chestnuttide.node import _commands
+from chestnuttide.node import _ownership
+from chestnuttide import platform
+from chestnuttide import telemetry
+from chestnuttide import workloads
+
+LOG = telemetry.make_logger("worker")
+
+# A worker answers a poll after this time if no run has completed. On workers
+# with runs, progress, latency and unresponsiveness are seen at this rate.
+BUSY_POLL_WAIT_S = 0.5
+
+IDLE_POLL_WAIT_S = 2.0
+
+# Timeout of a poll beyond its wait.
+POLL_TIMEOUT_S = 0.4
+
+# A worker answers at once while completions are not acknowledged, which they
+# are once stored. A slow store delays the next poll by this time at most.
+COMPLETION_COMMIT_WAIT_S = 0.1
+
+
+def ensure_poll_loop(
+    owner: _ownership.Ownership, worker: workloads.Worker
+) -> None:
+    """Start polling a worker in the background unless it is being polled."""
+    task = owner.poll_loops.get(worker.key)
+    if task is None or task.done():
+        owner.poll_loops[worker.key] = asyncio.ensure_future(
+            _run_poll_loop(owner, worker)
+        )
+
+
+async def _run_poll_loop(
+    owner: _ownership.Ownership, worker: workloads.Worker
+) -> None:
+    """Poll a worker and restart the loop after an unexpected error."""
+    while not owner.deposed.is_set():
+        try:
+            await _poll_loop(owner, worker)
+            return
+        except Exception:
+            LOG.exception("Poll loop has failed.", worker=worker.key)
+            await asyncio.sleep(_commands.WORKER_RETRY_PAUSE_S)
+
+
+async def _poll_loop(
+    owner: _ownership.Ownership, worker: workloads.Worker
+) -> None:
+    while not owner.deposed.is_set():
+        if workloads.is_finished(worker):
+            break
+        if worker.stored_end < worker.highest_end:
+            await _wait_for_commit(owner)
+        if not worker.report.address or not _ownership.may_send_commands(
+            owner
+        ):
+            await asyncio.sleep(_commands.WORKER_RETRY_PAUSE_S)
+        elif not await poll_worker(owner, worker, wait_s=_poll_wait_s(worker)):
+            worker.failed_looks += 1
+            if worker.failed_looks == 1:
+                LOG.warning(
+                    "Worker is unresponsive.",
+                    worker=worker.key,
+                    runs=len(worker.runs),
+                )
+            await asyncio.sleep(_commands.WORKER_RETRY_PAUSE_S)
+        elif worker.failed_looks:
+            LOG.info("Worker responds again.", worker=worker.key)
+            worker.failed_looks = 0
+            owner.plan_requested.set()
+        _expire_runs(owner, worker)
+    owner.pool.workers.pop(worker.key, None)
+    owner.pool.unknown_runs.pop(worker.key, None)
+    LOG.info("Worker is no longer polled.", worker=worker.key)
+
+
+async def _wait_for_commit(owner: _ownership.Ownership) -> None:
+    try:
+        async with asyncio.timeout(COMPLETION_COMMIT_WAIT_S):
+            await owner.committed.wait()
+    except TimeoutError:
+        LOG.debug("Completions are not stored yet.", service=owner.service)
+
+
+def _poll_wait_s(worker: workloads.Worker) -> float:
+    if not worker.seen_at or worker.failed_looks:
+        return 0.0
+    return BUSY_POLL_WAIT_S if worker.runs else IDLE_POLL_WAIT_S
+
+
+async def poll_worker(
+    owner: _ownership.Ownership, worker: workloads.Worker, *, wait_s: float
+) -> bool:
+    """Renew the leases of a worker's runs and apply its reported lists.
+
+    Returns whether the worker replied as the incarnation that was polled.
+    """
+    sent_at = _clock.now()
+    deadline_ms = workloads.hold_deadline_ms(
+        worker, now=sent_at, lease_s=owner.pool.bounds.lease_s
+    )
+    if deadline_ms is not None:
+        workloads.note_grant(worker, deadline_ms, now=sent_at)
+    first = not worker.seen_at
+    try:
+        reply = await platform.hold_runs(
+            owner.workers_http,
+            _commands.worker_address(worker),
+            fence=owner.fencing_token,
+            acknowledged_end=workloads.acknowledged_end(worker),
+            deadline_ms=deadline_ms,
+            wait_s=wait_s,
+            timeout_s=POLL_TIMEOUT_S,
+            may_send=lambda: _ownership.may_send_commands(owner),
+        )
+    except errors.PlatformError as error:
+        LOG.debug("Poll failed.", worker=worker.key, error=str(error))
+        return False
+    if owner.deposed.is_set():
+        return False
+    if isinstance(reply, platform.OrderReply):
+        _commands.handle_rejection(owner, worker, reply, "hold")
+        return False
+    if reply.born_ms != worker.report.born_ms:
+        replace_incarnation(owner, worker, reply.born_ms)
+        return False
+    observation = workloads.Observation(
+        clock_ms=reply.clock_ms,
+        running=reply.running,
+        ended=reply.ended,
+        sent_at=sent_at,
+        received_at=_clock.now(),
+    )
+    completions = workloads.apply_look(
+        owner.pool,
+        worker,
+        observation,
+        now_unix_s=_clock.unix_time(),
+    )
+    for run, outcome in completions:
+        _commands.log_completion(owner, run, outcome)
+    if first:
+        _stop_unanswered_starts(owner, worker)
+    if completions or first:
+        _handle_completions(owner, [run for run, _ in completions])
+    _reconcile_runs(owner, worker)
+    return True
+
+
+def _stop_unanswered_starts(
+    owner: _ownership.Ownership, worker: workloads.Worker
+) -> None:
+    """Stop starts that were sent to former incarnations of a worker.
+
+    A new incarnation might still execute a start that was never answered.
+    """
+    starts = owner.pool.unanswered_starts.pop(worker.report.id, set())
+    for task, number in starts:
+        _ownership.start_command(
+            owner, _commands.stop_unknown_run(owner, worker, task, number)
+        )
+
+
+def _handle_completions(
+    owner: _ownership.Ownership, runs: list[workloads.Run]
+) -> None:
+    """Request a plan and a commit after completions.
+
+    The commit is urgent if a job has ended, because a caller waits for that.
+    """
+    owner.plan_requested.set()
+    _ownership.request_commit(
+        owner,
+        urgent=any(run.job.state in workloads.TERMINAL_STATES for run in runs),
+    )
+
+
+def _reconcile_runs(
+    owner: _ownership.Ownership, worker: workloads.Worker
+) -> None:
+    if worker.stored_end < worker.highest_end:
+        _ownership.request_commit(owner, urgent=False)
+    for task, number in owner.pool.unknown_runs.get(worker.key, ()):
+        LOG.warning(
+            "Worker reports a run of no known job; stopping it.",
+            worker=worker.key,
+            task=task,
+            run=number,
+        )
+        _ownership.start_command(
+            owner, _commands.stop_unknown_run(owner, worker, task, number)
+        )
+    for run in workloads.pace_fillers(worker):
+        _ownership.start_command(
+            owner, _commands.throttle_run(owner, worker, run)
+        )
+    _commands.send_due_stops(owner, worker)
+
+
+def _expire_runs(
+    owner: _ownership.Ownership, worker: workloads.Worker
+) -> None:
+    expired = workloads.lapse_silent_worker(
+        owner.pool,
+        worker,
+        now=_clock.now(),
+        now_unix_s=_clock.unix_time(),
+    )
+    for run in expired:
+        _commands.log_completion(owner, run, "lapsed in silence")
+    if expired:
+        owner.plan_requested.set()
+        _ownership.request_commit(owner, urgent=False)
+
+
+def replace_incarnation(
+    owner: _ownership.Ownership, worker: workloads.Worker, born_ms: int
+) -> None:
+    """Replace a worker that has restarted under the same id."""
+    reassigned = workloads.begin_lifetime(owner.pool, worker, born_ms)
+    for run in reassigned:
+        LOG.warning(
+            "Start may have reached a new incarnation.",
+            job=run.job.spec.id,
+            task=run.task,
+            run=run.number,
+            worker=run.worker_key,
+        )
+        ensure_poll_loop(owner, owner.pool.workers[run.worker_key])
+    _commands.end_incarnation(owner, worker, "restarted")
--- a/chestnuttide/node/_release.py
+++ b/chestnuttide/node/_release.py
@@ -1,4 +1,4 @@
-"""Confirmation and end of an ownership."""
+"""Confirmation and release of an ownership."""
 
 import asyncio
 import contextlib
@@ -17,26 +17,29 @@
 
 LOG = telemetry.make_logger("owner")
 
-# An owner that stores nothing asks the store at this rate whether it still
-# is the owner.
-CONFIRM_S = 1.0
+# An owner without commits checks in the store at this rate whether it is still
+# the owner.
+CONFIRM_PERIOD_S = 1.0
 
-# An owner that the store refuses for this long has a peer end its ownership,
-# so that an instance that reaches the store takes over at once.
+# An owner that the store has not confirmed for this long, while calls fail,
+# has a peer release its ownership, so that an instance that reaches the store
+# takes over at once.
 RELEASE_AFTER_S = 0.3
 
-# A peer that has had no good answer of the store for this long is cut off as
-# well; instances renew their leases more often than that.
-REACHES_STORE_S = 0.35
+# A peer without a successful call to the store for this long counts as
+# disconnected too. Instances renew their leases more often than that.
+STORE_REACHABLE_S = 0.35
 
 
 async def confirm_loop(owner: _ownership.Ownership) -> None:
-    """Ask the store for the ownership when no commit has shown it."""
+    """Check the ownership in the store if no commit has confirmed it."""
     confirmed = True
     while True:
-        await asyncio.sleep(CONFIRM_S / 10)
+        await asyncio.sleep(CONFIRM_PERIOD_S / 10)
         sent_at = _clock.now()
-        limit_s = RELEASE_AFTER_S if owner.store.failing_since else CONFIRM_S
+        limit_s = (
+            RELEASE_AFTER_S if owner.store.failing_since else CONFIRM_PERIOD_S
+        )
         if sent_at - owner.confirmed_at < limit_s:
             continue
         try:
@@ -54,11 +57,11 @@
             confirmed = False
             await release_through_peer(owner)
             continue
-        if item is None or item.revision != owner.fence:
+        if item is None or item.revision != owner.fencing_token:
             LOG.warning(
-                "Deposed: the owner's key has changed.",
+                "Deposed: the owner's key in the store has changed.",
                 service=owner.service,
-                fence=owner.fence,
+                fence=owner.fencing_token,
             )
             owner.deposed.set()
             return
@@ -69,7 +72,7 @@
 
 
 async def release_through_peer(owner: _ownership.Ownership) -> None:
-    """Have a peer that reaches the store end this ownership."""
+    """Ask peers until one that reaches the store releases the ownership."""
     owner.releasing = True
     for name in _peers.connected_names(owner.session.peers):
         try:
@@ -79,22 +82,26 @@
                 lambda call_id: _messages.Release(
                     call_id=call_id,
                     service=owner.service,
-                    fence=owner.fence,
+                    fencing_token=owner.fencing_token,
                 ),
             )
         except errors.PeerNotConnectedError as error:
             LOG.info("Peer was not asked.", peer=name, error=str(error))
             continue
         except errors.MeshError as error:
-            # The peer may still do it, so ordering cannot go on.
-            LOG.info("Peer did not release.", peer=name, error=str(error))
+            # The peer may still release it, so no more commands may be sent.
+            LOG.info(
+                "Peer did not answer the release call.",
+                peer=name,
+                error=str(error),
+            )
             owner.deposed.set()
             return
         if reply.released:
             LOG.warning(
-                "Ownership was ended through a peer.",
+                "Ownership was released through a peer.",
                 service=owner.service,
-                fence=owner.fence,
+                fence=owner.fencing_token,
                 peer=name,
             )
             owner.deposed.set()
@@ -103,7 +110,10 @@
 
 
 def _release_transaction(service: str, fence: int) -> platform.Transaction:
-    """Return the change that ends an ownership that orders no more."""
+    """Return the transaction that releases an ownership.
+
+    Its owner sends no more commands, which the released key records.
+    """
     key = _keys.owner(service)
     return platform.Transaction(
         expect={key: fence},
@@ -112,17 +122,17 @@
     )
 
 
-async def release(
+async def release_for_peer(
     session: _session.Session, message: _messages.Release
 ) -> _messages.ReleaseReply:
-    """End a peer's ownership for it, if it still stands."""
+    """Release a peer's ownership on its behalf, if it still exists."""
     released = False
     age_s = time.monotonic() - session.store.answered_at
-    if not session.store.failing_since and age_s < REACHES_STORE_S:
+    if not session.store.failing_since and age_s < STORE_REACHABLE_S:
         try:
             await platform.commit(
                 session.store,
-                _release_transaction(message.service, message.fence),
+                _release_transaction(message.service, message.fencing_token),
             )
             released = True
         except platform.ConditionError:
@@ -133,21 +143,23 @@
 
 
 async def hand_over(owner: _ownership.Ownership) -> None:
-    """Store what is decided and give the ownership up."""
+    """Store pending changes and give up the ownership."""
     owner.stopping = True
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(CONFIRM_S):
+        async with asyncio.timeout(CONFIRM_PERIOD_S):
             await _commits.commit_all(owner)
     owner.deposed.set()
     key = _keys.owner(owner.service)
     try:
         await platform.commit(
             owner.store,
-            platform.Transaction(expect={key: owner.fence}, remove=(key,)),
+            platform.Transaction(
+                expect={key: owner.fencing_token}, remove=(key,)
+            ),
         )
     except errors.SchedulerError as error:
         LOG.warning(
-            "Ownership was not handed over; its lease ends it.",
+            "Ownership was not handed over; it ends with the lease.",
             service=owner.service,
             error=str(error),
         )
--- a/chestnuttide/node/_answers.py
+++ b/chestnuttide/node/_responses.py
@@ -1,4 +1,4 @@
-"""Answers to callers, and what their handlers need."""
+"""Responses to callers, and the context of the request handlers."""
 
 import asyncio
 import math
@@ -13,8 +13,8 @@
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
-class Front:
-    """What the callers' handlers need.
+class ApiContext:
+    """State that the handlers of callers' requests share.
 
     Attributes
     ----------
@@ -25,15 +25,16 @@
     metrics : NodeMetrics
         Counters.
     pending : dict of (str, str) to (float, int)
-        Time and value of the last known queue lengths.
+        Time and value of the last known length of each queue, by service
+        and queue.
     in_flight : int
-        Requests that are not answered yet.
+        Number of requests without a response.
     stopping : bool
-        Whether answers close their connections.
-    answer_by : float
-        Monotonic time by which a stopping instance has to have answered.
+        Whether responses close their connections.
+    response_deadline : float
+        Monotonic time by which a stopping instance has to respond.
     tasks : set of Task
-        Requests under way.
+        Requests in progress.
     """
 
     session: _session.Session
@@ -44,13 +45,13 @@
     )
     in_flight: int = 0
     stopping: bool = False
-    answer_by: float = math.inf
+    response_deadline: float = math.inf
     tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class Answer:
-    """An answer to a caller.
+class Response:
+    """A response to a caller.
 
     Attributes
     ----------
@@ -59,15 +60,15 @@
     body : dict of str to object
         JSON body.
     call : str
-        Kind of the call, for logs and metrics.
+        Kind of call, for logs and metrics.
     reason : str
-        Why a call was refused; empty for others.
+        Reason for a refusal; empty otherwise.
     job : str
         Id of the job; empty if there is none.
     retry_after_s : int
-        When to come back; 0 if that is pointless.
+        Delay before a retry, in seconds; 0 if a retry is pointless.
     inputs : dict of str to object
-        What decided, for the log.
+        Inputs of the decision, for the log.
     """
 
     status: int
@@ -79,7 +80,7 @@
     inputs: dict[str, object] = attrs.field(factory=dict)
 
 
-def refuse(
+def make_refusal(
     call: str,
     status: int,
     reason: str,
@@ -87,8 +88,8 @@
     *,
     job: str = "",
     retry_after_s: int = 0,
-) -> Answer:
-    return Answer(
+) -> Response:
+    return Response(
         status=status,
         body={"error": reason, "message": message},
         call=call,
@@ -98,8 +99,8 @@
     )
 
 
-def unknown_job(call: str, job_id: str) -> Answer:
-    return refuse(
+def unknown_job(call: str, job_id: str) -> Response:
+    return make_refusal(
         call,
         410,
         "unknown_job",
--- a/chestnuttide/node/_session.py
+++ b/chestnuttide/node/_session.py
@@ -1,4 +1,4 @@
-"""An instance's presence in the store: lease, members, owners, config."""
+"""An instance's membership and its view of members, owners and config."""
 
 import asyncio
 import collections.abc
@@ -17,28 +17,28 @@
 
 LOG = telemetry.make_logger("session")
 
-# An owner that dies is replaced after this time. It is several times the
-# answer time of a slow store, so that a slow store costs no owner.
+# A dead owner is replaced after this time. It is several times the latency of
+# a slow store, so that a slow store alone does not cost an owner its lease.
 LEASE_TTL_S = 1.2
 RENEWALS_PER_TTL = 4
 
-# A watch that has nothing to report returns after this time. A connection
-# that has gone silent for good shows only then, and a config has to be in
-# force within 2 s of its acknowledgement.
+# A watch without changes returns after this time. A dead connection is only
+# detected then, and a config has to be in force within 2 s of its
+# acknowledgement.
 WATCH_WAIT_S = 1.2
 
 # Pauses after a failed call to the store.
 RETRY_MINIMUM_S = 0.1
 RETRY_MAXIMUM_S = 0.5
 
-# An instance that the store refuses asks a peer at this rate for the config
-# and the owners. A config has to be in force within 2 s of its
-# acknowledgement, and callers ask their instance for jobs all the while.
-PEER_PERIOD_S = 0.2
+# An instance that cannot use the store queries a peer for config and owners
+# at this rate. A config has to be in force within 2 s of its acknowledgement,
+# and callers keep sending requests to the instance meanwhile.
+PEER_QUERY_PERIOD_S = 0.2
 
-# An instance whose membership has ended is still dialled for this long: it may
-# only have lost the store, and then needs its peers.
-FORMER_MEMBER_S = 60.0
+# An instance whose membership has ended is still dialled for this long. It may
+# only have lost the store, and then it depends on its peers.
+FORMER_MEMBER_DIAL_S = 60.0
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -50,7 +50,7 @@
     address : str
         ``ip:port`` for the other instances.
     cores : float
-        Its processor time, in cores of the reference.
+        Its processor time, in reference cores.
     link_mbps : float
         Bandwidth of its link.
     """
@@ -67,19 +67,19 @@
     Attributes
     ----------
     instance, incarnation : str
-        The instance, and the start of its daemon.
-    fence : int
-        Fencing token: the revision at which it became the owner.
+        Name of the instance, and id of the start of its daemon.
+    fencing_token : int
+        Fencing token: the store revision at which it became the owner.
     """
 
     instance: str
     incarnation: str
-    fence: int
+    fencing_token: int
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Session:
-    """What an instance knows of the cell.
+    """An instance's membership and its view of the cell.
 
     Attributes
     ----------
@@ -92,9 +92,9 @@
     address : str
         ``ip:port`` for the other instances.
     incarnation : str
-        This start of the daemon.
+        Id of this start of the daemon.
     lease : int
-        The instance's lease; 0 if it has none.
+        Id of the instance's lease; 0 if it has none.
     joined_at : float
         When the lease was granted.
     members : dict of str to Member
@@ -104,26 +104,26 @@
     owners : dict of str to Owner
         Owner of each service that has one.
     former_owners : dict of str to Owner
-        Owner of a service before the owner's key was removed.
+        Last owner of each service whose owner's key was removed.
     released : dict of str to int
-        Fencing token of the last owner of a service that stopped ordering
+        Fencing token of each service's last owner that sent no more commands
         before its key was removed.
-    failed_fences : dict of str to int
-        Fencing token of the instance's last ownership that has failed.
+    failed_fencing_tokens : dict of str to int
+        Fencing token of this instance's last failed ownership, by service.
     ownerless_since : dict of str to float
-        When a service was first seen without an owner.
+        When each service without an owner was first seen so.
     cell_known : bool
-        Whether members and owners were read and are being watched.
+        Whether members and owners were read and their watch works.
     config : ClusterConfig or None
-        Newest configuration.
+        Newest known configuration.
     config_document : bytes
-        As the operator wrote it.
+        The configuration as the operator wrote it.
     config_watched : bool
-        Whether the store's watch is working.
+        Whether the watch of the configuration works.
     changed : asyncio.Event
         Set when members, owners or config have changed.
     stopping : bool
-        Whether the instance leaves.
+        Whether the instance is shutting down.
     """
 
     settings: _settings.NodeSettings
@@ -138,7 +138,7 @@
     owners: dict[str, Owner] = attrs.field(factory=dict)
     former_owners: dict[str, Owner] = attrs.field(factory=dict)
     released: dict[str, int] = attrs.field(factory=dict)
-    failed_fences: dict[str, int] = attrs.field(factory=dict)
+    failed_fencing_tokens: dict[str, int] = attrs.field(factory=dict)
     ownerless_since: dict[str, float] = attrs.field(factory=dict)
     cell_known: bool = False
     config: platform.ClusterConfig | None = None
@@ -149,7 +149,7 @@
 
 
 async def keep_lease(session: Session) -> None:
-    """Hold a lease and the membership, for ever."""
+    """Keep the lease and the membership until the instance stops."""
     ttl_s = max(LEASE_TTL_S, session.settings.store.min_lease_ms / 1000)
     failed = False
     while not session.stopping:
@@ -159,15 +159,15 @@
             else:
                 await _join(session, ttl_s)
             if failed:
-                LOG.info("Lease is renewed again.", lease=session.lease)
+                LOG.info("Lease renewals succeed again.", lease=session.lease)
             failed = False
         except errors.LeaseExpiredError:
-            LOG.warning("Lease has ended.", lease=session.lease)
+            LOG.warning("Lease has expired.", lease=session.lease)
             session.lease = 0
             continue
         except errors.SchedulerError as error:
             if not failed:
-                LOG.warning("Lease is not renewed.", error=str(error))
+                LOG.warning("Lease renewal failed.", error=str(error))
             failed = True
         await asyncio.sleep(ttl_s / RENEWALS_PER_TTL)
 
@@ -194,7 +194,7 @@
     session.changed.set()
 
 
-async def follow(
+async def watch_prefix(
     session: Session,
     prefix: str,
     *,
@@ -203,7 +203,7 @@
     on_working: collections.abc.Callable[[bool], None],
     pause_s: float = 0.0,
 ) -> None:
-    """Report the items of a prefix and all their changes, for ever.
+    """Report the items under a prefix and all later changes, for ever.
 
     Parameters
     ----------
@@ -216,9 +216,9 @@
     on_item : function
         Called with each change.
     on_working : function
-        Called with whether the last call succeeded, after each call.
+        Called after each call to the store with whether it succeeded.
     pause_s : float
-        Time to gather changes before they are asked for.
+        Pause before the next watch, in which changes accumulate.
     """
     revision = -1
     retry_s = RETRY_MINIMUM_S
@@ -242,12 +242,15 @@
             retry_s = RETRY_MINIMUM_S
             on_working(True)
         except platform.HistoryLostError:
-            LOG.info("History is gone; listing again.", prefix=prefix)
+            LOG.info(
+                "Store no longer has the watched revision; listing again.",
+                prefix=prefix,
+            )
             revision = -1
         except errors.SchedulerError as error:
             on_working(False)
             LOG.debug("Watch failed.", prefix=prefix, error=str(error))
-            # Listing again also shows what a cut watch has missed.
+            # A new listing also shows changes that a broken watch has missed.
             revision = -1
             await asyncio.sleep(retry_s)
             retry_s = min(RETRY_MAXIMUM_S, retry_s * 2)
@@ -261,19 +264,19 @@
             _end_membership(session, name)
         session.owners.clear()
         for item in items:
-            apply_cell(session, item)
-        _note_cell(session)
+            apply_cell_item(session, item)
+        _update_peers(session)
 
     def on_item(item: platform.Item) -> None:
-        apply_cell(session, item)
-        _note_cell(session)
+        apply_cell_item(session, item)
+        _update_peers(session)
 
     def on_working(working: bool) -> None:
         if session.cell_known != working:
             LOG.info("Cell watch changed.", working=working)
         session.cell_known = working
 
-    await follow(
+    await watch_prefix(
         session,
         _keys.CELL,
         on_list=on_list,
@@ -282,8 +285,8 @@
     )
 
 
-def apply_cell(session: Session, item: platform.Item) -> None:
-    """Take over a change of a member, an owner or a release."""
+def apply_cell_item(session: Session, item: platform.Item) -> None:
+    """Apply a change of a member, an owner or a released ownership."""
     if item.key.startswith(_keys.MEMBERS):
         name = item.key.removeprefix(_keys.MEMBERS)
         if item.removed:
@@ -303,7 +306,7 @@
     service = item.key.removeprefix(_keys.OWNERS)
     former = session.owners.get(service)
     if item.removed:
-        if former is not None and former.fence < item.revision:
+        if former is not None and former.fencing_token < item.revision:
             del session.owners[service]
             session.former_owners[service] = former
             LOG.info("Service lost its owner.", service=service)
@@ -312,7 +315,11 @@
     _adopt_owner(
         session,
         service,
-        Owner(instance=instance, incarnation=incarnation, fence=item.revision),
+        Owner(
+            instance=instance,
+            incarnation=incarnation,
+            fencing_token=item.revision,
+        ),
     )
 
 
@@ -322,13 +329,13 @@
         session.former_members[name] = (member.address, _clock.now())
 
 
-def _note_cell(session: Session) -> None:
+def _update_peers(session: Session) -> None:
     session.changed.set()
     now = _clock.now()
     addresses = {
         name: address
         for name, (address, ended_at) in session.former_members.items()
-        if now - ended_at < FORMER_MEMBER_S
+        if now - ended_at < FORMER_MEMBER_DIAL_S
     }
     for name, member in session.members.items():
         addresses[name] = member.address
@@ -351,7 +358,7 @@
             LOG.info("Config watch changed.", working=working)
         session.config_watched = working
 
-    await follow(
+    await watch_prefix(
         session,
         _keys.OPERATOR,
         on_list=on_list,
@@ -365,7 +372,9 @@
     try:
         config = platform.decode_config(document)
     except errors.ProtocolError as error:
-        LOG.error("Config is ignored.", source=source, error=str(error))
+        LOG.error(
+            "Invalid config is ignored.", source=source, error=str(error)
+        )
         return
     if session.config is not None and config.version <= session.config.version:
         return
@@ -381,10 +390,10 @@
 
 
 async def ask_peers(session: Session) -> None:
-    """Ask the peers for config and owners while the store is away."""
+    """Query peers for config and owners while the store is unavailable."""
     turn = 0
     while True:
-        await asyncio.sleep(PEER_PERIOD_S)
+        await asyncio.sleep(PEER_QUERY_PERIOD_S)
         names = _peers.connected_names(session.peers)
         if (session.config_watched and session.cell_known) or not names:
             continue
@@ -408,21 +417,25 @@
             _adopt_owner(
                 session,
                 service,
-                Owner(instance=instance, incarnation=incarnation, fence=fence),
+                Owner(
+                    instance=instance,
+                    incarnation=incarnation,
+                    fencing_token=fence,
+                ),
             )
 
 
 def _adopt_owner(session: Session, service: str, owner: Owner) -> None:
-    """Take over an owner if its fencing token is higher."""
+    """Record an owner if its fencing token is higher than the known one."""
     known = session.owners.get(service)
-    if known is not None and known.fence >= owner.fence:
+    if known is not None and known.fencing_token >= owner.fencing_token:
         return
     session.owners[service] = owner
     LOG.info(
         "Service has an owner.",
         service=service,
         owner=owner.instance,
-        fence=owner.fence,
+        fence=owner.fencing_token,
     )
     session.changed.set()
 
@@ -439,14 +452,14 @@
         call_id=message.call_id,
         document=session.config_document if newer else b"",
         owners=tuple(
-            (service, owner.instance, owner.incarnation, owner.fence)
+            (service, owner.instance, owner.incarnation, owner.fencing_token)
             for service, owner in session.owners.items()
         ),
     )
 
 
 async def leave(session: Session) -> None:
-    """End the lease, so that others take over at once."""
+    """End the lease, so that other instances take over at once."""
     if not session.lease:
         return
     try:
--- a/chestnuttide/node/_starts.py
+++ b/chestnuttide/node/_starts.py
@@ -1,26 +1,27 @@
-"""Starts of recorded runs, and what is done when one is not answered."""
+"""Start commands for recorded runs, and recovery if one is unanswered."""
 
 from chestnuttide import errors
 from chestnuttide.node import _clock
-from chestnuttide.node import _looks
-from chestnuttide.node import _orders
+from chestnuttide.node import _commands
 from chestnuttide.node import _ownership
+from chestnuttide.node import _polls
 from chestnuttide import platform
 from chestnuttide import telemetry
 from chestnuttide import workloads
 
 LOG = telemetry.make_logger("worker")
 
-# Lease of a start. Its end also ends the doubt about an unanswered start.
+# Lease of a starting run. Once it expires, an unanswered start can no longer
+# take effect.
 START_LEASE_S = 2.5
 
 
-async def order_start(owner: _ownership.Ownership, run: workloads.Run) -> None:
-    """Send a stored run's start to its worker."""
+async def start_run(owner: _ownership.Ownership, run: workloads.Run) -> None:
+    """Send the start command of a recorded run to its worker."""
     worker = owner.pool.workers.get(run.worker_key)
     if worker is None or not worker.listed:
-        # It has left, or has started again since the run was planned.
-        _orders.end_run(owner, run, "never")
+        # The worker has left or restarted since the run was planned.
+        _commands.end_run(owner, run, "never")
         return
     now = _clock.now()
     deadline_ms = workloads.lease_deadline_ms(
@@ -31,16 +32,18 @@
     try:
         reply = await platform.start_run(
             owner.workers_http,
-            _orders.address(worker),
+            _commands.worker_address(worker),
             task=run.task,
             run=run.number,
             payload=run.job.spec.payload,
             deadline_ms=deadline_ms,
-            fence=owner.fence,
+            fence=owner.fencing_token,
             checkpoint=run.checkpoint,
             ticket=run.ticket,
-            timeout_s=_orders.ORDER_TIMEOUT_S,
-            may_send=lambda: _ownership.may_order(owner) and not run.stopping,
+            timeout_s=_commands.COMMAND_TIMEOUT_S,
+            may_send=lambda: (
+                _ownership.may_send_commands(owner) and not run.stopping
+            ),
         )
     except errors.PlatformError as error:
         if error.sent:
@@ -56,37 +59,38 @@
             sent=error.sent,
         )
         if not error.sent:
-            _orders.end_run(owner, run, "never")
+            _commands.end_run(owner, run, "never")
         else:
-            await _resolve_doubt(owner, worker, run)
+            await _resolve_unanswered_start(owner, worker, run)
         return
     if owner.deposed.is_set() or run not in run.unit.runs:
         return
-    _note_start_reply(owner, worker, run, reply)
+    _handle_start_reply(owner, worker, run, reply)
 
 
-async def _resolve_doubt(
+async def _resolve_unanswered_start(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     run: workloads.Run,
 ) -> None:
-    """Find out soon whether an unanswered start has begun, or never will.
+    """Find out promptly whether an unanswered start took effect.
 
-    A worker that does not list the run may still execute its start, until it
-    has answered a stop for it.
+    A worker that does not list the run may still execute the start until it
+    has acknowledged a stop for that run.
     """
-    await _looks.look(owner, worker, wait_s=0.0)
-    if run.phase != workloads.Phase.UNCERTAIN or not _ownership.may_order(
-        owner
+    await _polls.poll_worker(owner, worker, wait_s=0.0)
+    if (
+        run.phase != workloads.Phase.UNCERTAIN
+        or not _ownership.may_send_commands(owner)
     ):
         return
     run.stop_sent_at = _clock.now()
-    await _orders.order_stop(owner, worker, run)
+    await _commands.stop_run_on_worker(owner, worker, run)
     if run.stop_acknowledged_at and run in run.unit.runs:
-        await _looks.look(owner, worker, wait_s=0.0)
+        await _polls.poll_worker(owner, worker, wait_s=0.0)
 
 
-def _note_start_reply(
+def _handle_start_reply(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     run: workloads.Run,
@@ -98,14 +102,14 @@
     if reply.status == 200:
         first = not run.job.started
         workloads.confirm_start(run, now=now)
-        owner.metrics.orders.inc({"kind": "start", "outcome": "200"})
+        owner.metrics.commands.inc({"kind": "start", "outcome": "200"})
         LOG.info(
             "Run has started.",
             job=run.job.spec.id,
             task=run.task,
             run=run.number,
             worker=run.worker_key,
-            fence=owner.fence,
+            fence=owner.fencing_token,
             resumed=bool(run.checkpoint),
             age_s=round(now - run.job.accepted_at, 3),
         )
@@ -115,7 +119,7 @@
                 now - run.job.accepted_at,
             )
         return
-    _orders.note_rejection(owner, worker, reply, "start")
+    _commands.handle_rejection(owner, worker, reply, "start")
     if reply.reason == "ticket":
         step = run.job.advice.get(run.unit.key[:2])
         if step is not None:
@@ -123,4 +127,4 @@
     if reply.reason == "room":
         run.unit.avoided.add(worker.key)
     if reply.reason != "fence":
-        _orders.end_run(owner, run, "never")
+        _commands.end_run(owner, run, "never")
--- a/chestnuttide/node/_submission.py
+++ b/chestnuttide/node/_submission.py
@@ -7,38 +7,38 @@
 from tornado import httputil
 
 from chestnuttide import errors
-from chestnuttide.node import _answers
 from chestnuttide.node import _clock
-from chestnuttide.node import _intake
 from chestnuttide.node import _keys
 from chestnuttide.node import _messages
 from chestnuttide.node import _peers
+from chestnuttide.node import _responses
+from chestnuttide.node import _updates
 from chestnuttide import platform
 from chestnuttide import telemetry
 from chestnuttide import workloads
 
 LOG = telemetry.make_logger("front")
 
-# Share of a caller's deadline that is spent on storing its job; the rest is
-# left for the answer.
-STORE_SHARE = 0.7
+# Share of a caller's deadline for storing its job. The rest is left for the
+# response.
+STORE_DEADLINE_SHARE = 0.7
 DEFAULT_DEADLINE_S = 3.0
 
-# Peers that are asked to write for an instance that the store refuses. Those
-# that the store refuses as well say so within a round trip.
-PEERS_TRIED = 8
+# Number of peers that are asked to write for an instance without access to the
+# store. Peers without access refuse within a round trip.
+MAX_PEERS_TRIED = 8
 WRITE_PAUSE_S = 0.05
 
 
 async def submit(
-    front: _answers.Front,
+    context: _responses.ApiContext,
     queue: workloads.Queue,
     job_id: str,
     request: httputil.HTTPServerRequest,
-) -> _answers.Answer:
-    config = front.session.config
+) -> _responses.Response:
+    config = context.session.config
     if len(request.body) > config.max_body_bytes:
-        return _answers.refuse(
+        return _responses.make_refusal(
             "submit",
             413,
             "too_large",
@@ -53,7 +53,7 @@
             now_unix_s=_clock.unix_time(),
         )
     except errors.RefusedError as error:
-        return _answers.refuse(
+        return _responses.make_refusal(
             "submit", 400, str(error.reason), str(error), job=job_id
         )
     write = _messages.JobWrite(
@@ -65,37 +65,37 @@
         key=_keys.job(queue.service, job_id),
         value=workloads.encode_job(spec),
     )
-    _notify_owner(front, queue.service, job_id, write.value, stored=False)
-    outcome = await store_job(front, write, _deadline_s(request))
+    _notify_owner(context, queue.service, job_id, write.value, stored=False)
+    outcome = await store_job(context, write, _deadline_s(request))
     if outcome == "stored":
-        _notify_owner(front, queue.service, job_id, write.value, stored=True)
+        _notify_owner(context, queue.service, job_id, write.value, stored=True)
     inputs = {
         "queue": queue.name,
         "outcome": outcome,
         "tasks": sum(step.count for step in spec.steps),
     }
     if outcome in ("stored", "exists"):
-        return _answers.Answer(
+        return _responses.Response(
             status=200, body={}, call="submit", job=job_id, inputs=inputs
         )
     if outcome == "refused":
-        answer = _answers.refuse(
+        response = _responses.make_refusal(
             "submit",
             503,
             "store_unavailable",
             "The job was not accepted and never runs. Submit it again.",
             job=job_id,
-            retry_after_s=_answers.RETRY_AFTER_S,
+            retry_after_s=_responses.RETRY_AFTER_S,
         )
     else:
-        answer = _answers.refuse(
+        response = _responses.make_refusal(
             "submit",
             504,
             "outcome_unknown",
             "Whether the job was stored is not known. Send the same id again.",
             job=job_id,
         )
-    return attrs.evolve(answer, inputs=inputs)
+    return attrs.evolve(response, inputs=inputs)
 
 
 def _deadline_s(request: httputil.HTTPServerRequest) -> float:
@@ -104,81 +104,88 @@
 
 
 def _notify_owner(
-    front: _answers.Front,
+    context: _responses.ApiContext,
     service: str,
     job_id: str,
     value: bytes,
     *,
     stored: bool,
 ) -> None:
-    owner = front.session.owners.get(service)
+    owner = context.session.owners.get(service)
     if owner is None:
         return
     message = _messages.JobNotice(
         service=service, job_id=job_id, value=value, stored=stored
     )
-    if owner.incarnation == front.session.incarnation:
-        _intake.take_notice(front.owned.get(service), message)
+    if owner.incarnation == context.session.incarnation:
+        _updates.apply_job_notice(context.owned.get(service), message)
     else:
-        _peers.notify(front.session.peers, owner.instance, message)
+        _peers.notify(context.session.peers, owner.instance, message)
 
 
 async def store_job(
-    front: _answers.Front, write: _messages.JobWrite, deadline_s: float
+    context: _responses.ApiContext,
+    write: _messages.JobWrite,
+    deadline_s: float,
 ) -> str:
-    """Store a job here or through a peer.
+    """Store a job from this instance or through a peer.
 
     Returns
     -------
     str
-        ``stored``, ``exists``, ``refused`` if it provably never runs, or
+        ``stored``, ``exists``, ``refused`` if it certainly never runs, or
         ``unknown``.
     """
-    limit_s = min(STORE_SHARE * deadline_s, front.answer_by - _clock.now())
+    limit_s = min(
+        STORE_DEADLINE_SHARE * deadline_s,
+        context.response_deadline - _clock.now(),
+    )
     try:
         async with asyncio.timeout(limit_s):
-            return await _try_to_store(front, write)
+            return await _store_with_retries(context, write)
     except TimeoutError:
         LOG.info(
-            "Time to store a job is over.",
+            "Timed out storing a job.",
             key=write.key,
             limit_s=round(limit_s, 2),
-            stopping=front.stopping,
+            stopping=context.stopping,
         )
         return "unknown"
 
 
-async def _try_to_store(
-    front: _answers.Front, write: _messages.JobWrite
+async def _store_with_retries(
+    context: _responses.ApiContext, write: _messages.JobWrite
 ) -> str:
     unknown = False
     while True:
-        outcomes = [await write_job(front, write)]
-        names = _peers.connected_names(front.session.peers)
-        for name in random.sample(names, min(PEERS_TRIED, len(names))):
+        outcomes = [await write_job(context, write)]
+        names = _peers.connected_names(context.session.peers)
+        for name in random.sample(names, min(MAX_PEERS_TRIED, len(names))):
             if outcomes[-1] in ("stored", "exists"):
                 break
-            outcomes.append(await _write_through(front, name, write))
+            outcomes.append(await _write_through_peer(context, name, write))
         if outcomes[-1] in ("stored", "exists"):
             return outcomes[-1]
-        # A job whose write may still take effect is not refused.
+        # A job is not refused while a write of it may still take effect.
         unknown = unknown or "unknown" in outcomes
         if not unknown:
             return "refused"
         await asyncio.sleep(WRITE_PAUSE_S)
 
 
-async def write_job(front: _answers.Front, write: _messages.JobWrite) -> str:
+async def write_job(
+    context: _responses.ApiContext, write: _messages.JobWrite
+) -> str:
     """Store a job from this instance; see `store_job`.
 
-    While the store is silent nothing is sent, because a write without an
-    answer could not be refused truthfully.
+    Nothing is sent while the store is unresponsive. An unanswered write may
+    still take effect, so its job could not be refused.
     """
-    if front.session.store.silent:
+    if context.session.store.silent:
         return "refused"
     try:
         await platform.commit(
-            front.session.store,
+            context.session.store,
             platform.Transaction(
                 expect=dict.fromkeys(write.absent_keys, 0),
                 put={write.key: write.value},
@@ -190,17 +197,19 @@
         LOG.info("Job was not written.", key=write.key, error=str(error))
         return "refused"
     except errors.SchedulerError as error:
-        LOG.info("Write is uncertain.", key=write.key, error=str(error))
+        LOG.info(
+            "Outcome of a write is unknown.", key=write.key, error=str(error)
+        )
         return "unknown"
     return "stored"
 
 
-async def _write_through(
-    front: _answers.Front, name: str, write: _messages.JobWrite
+async def _write_through_peer(
+    context: _responses.ApiContext, name: str, write: _messages.JobWrite
 ) -> str:
     try:
         reply = await _peers.call(
-            front.session.peers,
+            context.session.peers,
             name,
             lambda call_id: attrs.evolve(write, call_id=call_id),
         )
@@ -208,36 +217,40 @@
         LOG.info("Peer was not asked.", peer=name, error=str(error))
         return "refused"
     except errors.MeshError as error:
-        LOG.info("Peer did not write.", peer=name, error=str(error))
+        LOG.info(
+            "Peer did not answer the write call.", peer=name, error=str(error)
+        )
         return "unknown"
     return reply.outcome
 
 
 async def cancel(
-    front: _answers.Front, queue: workloads.Queue, job_id: str
-) -> _answers.Answer:
+    context: _responses.ApiContext, queue: workloads.Queue, job_id: str
+) -> _responses.Response:
     try:
-        for service in sorted({queue.service, *front.session.config.services}):
+        for service in sorted(
+            {queue.service, *context.session.config.services}
+        ):
             item = await platform.read_key(
-                front.session.store, _keys.job(service, job_id)
+                context.session.store, _keys.job(service, job_id)
             )
             if item is not None:
                 break
         else:
-            return _answers.unknown_job("cancel", job_id)
+            return _responses.unknown_job("cancel", job_id)
         record = workloads.decode_job(item.value)
         if not isinstance(record, workloads.EndedJob):
             await platform.commit(
-                front.session.store,
+                context.session.store,
                 platform.Transaction(put={_keys.cancel(service, job_id): b""}),
             )
     except errors.SchedulerError as error:
-        return _answers.refuse(
+        return _responses.make_refusal(
             "cancel",
             503,
             "store_unavailable",
             f"The job may go on: {error}",
             job=job_id,
-            retry_after_s=_answers.RETRY_AFTER_S,
+            retry_after_s=_responses.RETRY_AFTER_S,
         )
-    return _answers.Answer(status=200, body={}, call="cancel", job=job_id)
+    return _responses.Response(status=200, body={}, call="cancel", job=job_id)
--- a/chestnuttide/node/_intake.py
+++ b/chestnuttide/node/_updates.py
@@ -1,43 +1,44 @@
-"""What the store and the instances say of an owner's workers and jobs."""
+"""Updates of an owner's workers and jobs from the store and from peers."""
 
 import collections.abc
 
 from chestnuttide import errors
 from chestnuttide.node import _clock
+from chestnuttide.node import _commands
 from chestnuttide.node import _commits
 from chestnuttide.node import _keys
-from chestnuttide.node import _looks
 from chestnuttide.node import _messages
-from chestnuttide.node import _orders
 from chestnuttide.node import _ownership
+from chestnuttide.node import _polls
 from chestnuttide import platform
 from chestnuttide import telemetry
 from chestnuttide import workloads
 
 LOG = telemetry.make_logger("owner")
 
-# Steps of a job that its log line describes.
+# Number of steps whose needs are logged when a job is queued.
 LOGGED_STEPS = 4
 
-# The worker's clock may be 2% slow.
-_CLOCK_DRIFT = 0.98
+# A worker's clock may run 2% slow.
+_MIN_CLOCK_RATE = 0.98
 
 
-def _former_lease_until(owner: _ownership.Ownership) -> float:
-    """Return when all runs of a former owner have ended in silence.
+def _former_lease_expiry(owner: _ownership.Ownership) -> float:
+    """Return when all leases granted by the former owner have expired.
 
-    A former owner that did not stop may extend leases while it has authority.
+    A former owner that has not stopped may renew leases until its authority
+    ends.
     """
-    until = _clock.now() + owner.pool.bounds.lease_s / _CLOCK_DRIFT
-    if not owner.former_stopped:
+    until = _clock.now() + owner.pool.bounds.lease_s / _MIN_CLOCK_RATE
+    if not owner.former_owner_stopped:
         until += _ownership.AUTHORITY_S
     return until
 
 
-def apply_worker(
+def apply_worker_entry(
     owner: _ownership.Ownership, item: platform.Item
 ) -> workloads.Worker | None:
-    """Take over a worker's entry; return its worker if it may be used."""
+    """Apply a worker's entry; return the worker if it may be used."""
     worker_id = item.key.removeprefix(_keys.WORKERS)
     current = [
         worker
@@ -60,7 +61,10 @@
             worker.listed = False
         return None
     if any(each.report.born_ms > report.born_ms for each in current):
-        LOG.info("Worker entry is older than its lifetime.", worker=worker_id)
+        LOG.info(
+            "Worker entry is older than the worker's incarnation.",
+            worker=worker_id,
+        )
         return None
     key = workloads.worker_key(report)
     known = owner.pool.workers.get(key)
@@ -69,9 +73,9 @@
         owner.pool,
         report,
         now=_clock.now(),
-        lease_until=_former_lease_until(owner),
+        lease_until=_former_lease_expiry(owner),
     )
-    end_former_lifetimes(owner, worker)
+    end_former_incarnations(owner, worker)
     if known is None or draining != report.draining:
         LOG.info(
             "Worker has reported.",
@@ -80,16 +84,16 @@
             draining=report.draining,
             remaining_s=report.remaining_s,
         )
-    owner.plan_wanted.set()
+    owner.plan_requested.set()
     return worker
 
 
-def end_former_lifetimes(
+def end_former_incarnations(
     owner: _ownership.Ownership, worker: workloads.Worker
 ) -> None:
-    """Hand over what the former lifetimes of a listed worker still have."""
+    """Replace the former incarnations of a listed worker."""
     for former in workloads.former_lifetimes(owner.pool, worker.report):
-        _looks.succeed_lifetime(owner, former, worker.report.born_ms)
+        _polls.replace_incarnation(owner, former, worker.report.born_ms)
 
 
 def apply_job(owner: _ownership.Ownership, item: platform.Item) -> None:
@@ -104,7 +108,7 @@
         return
     record = workloads.decode_job(item.value)
     if isinstance(record, workloads.EndedJob):
-        job = _make_ended(job_id, owner.service, record)
+        job = _make_ended_job(job_id, owner.service, record)
         owner.pool.jobs[job_id] = job
         return
     _accept(owner, _add_job(owner, record))
@@ -121,13 +125,13 @@
     )
 
 
-def take_notice(
+def apply_job_notice(
     owner: _ownership.Ownership | None, message: _messages.JobNotice
 ) -> None:
-    """Take over a job that an instance is storing or has stored.
+    """Add a job that an instance is storing or has stored, or cancel one.
 
-    The advisor is asked and the runs are recorded while the job's write is
-    under way. Nothing starts before both writes are acknowledged.
+    The advisor is queried and runs are recorded while the job's own write is
+    still in progress. Nothing starts before both writes are acknowledged.
     """
     if owner is None or not owner.ready or owner.deposed.is_set():
         return
@@ -138,7 +142,7 @@
     job = owner.pool.jobs.get(record.id) or _add_job(owner, record)
     if message.stored and not job.accepted:
         _accept(owner, job)
-    owner.plan_wanted.set()
+    owner.plan_requested.set()
 
 
 def _accept(owner: _ownership.Ownership, job: workloads.Job) -> None:
@@ -160,11 +164,11 @@
             for step in job.spec.steps[:LOGGED_STEPS]
         ],
     )
-    _commits.order_recorded(owner, job)
-    owner.plan_wanted.set()
+    _commits.start_recorded_runs(owner, job)
+    owner.plan_requested.set()
 
 
-def _make_ended(
+def _make_ended_job(
     job_id: str, service: str, record: workloads.EndedJob
 ) -> workloads.Job:
     queue = workloads.Queue(
@@ -185,14 +189,14 @@
     job_id = item.key.removeprefix(_keys.progress(owner.service))
     job = owner.pool.active.get(job_id)
     if job is None:
-        LOG.warning("Progress without a job is ignored.", job=job_id)
+        LOG.warning("Progress record without a job is ignored.", job=job_id)
         return
     job.progress_revision = item.revision
     workloads.apply_progress(
         owner.pool,
         job,
         item.value,
-        lease_until=_former_lease_until(owner),
+        lease_until=_former_lease_expiry(owner),
         now=_clock.now(),
         now_unix_s=_clock.unix_time(),
     )
@@ -217,15 +221,15 @@
     )
     workloads.cancel_job(owner.pool, job, _clock.unix_time())
     for worker in owner.pool.workers.values():
-        _orders.send_stops(owner, worker)
-    _ownership.want_commit(owner, urgent=True)
+        _commands.send_due_stops(owner, worker)
+    _ownership.request_commit(owner, urgent=True)
 
 
-def apply_work(
+def apply_work_items(
     owner: _ownership.Ownership,
     items: collections.abc.Iterable[platform.Item],
 ) -> None:
-    """Take over jobs, and then cancellations, which a list has first."""
+    """Apply jobs before cancellations, which come first in a listing."""
     items = tuple(items)
     for item in items:
         apply_job(owner, item)
--- a/chestnuttide/node/tests/test_claims.py
+++ b/chestnuttide/node/tests/test_claims.py
@@ -34,7 +34,7 @@
         )
     if former:
         session.former_owners[SERVICE] = _session.Owner(
-            instance=former, incarnation="", fence=1
+            instance=former, incarnation="", fencing_token=1
         )
     return session
 
--- a/chestnuttide/node/tests/test_commits.py
+++ b/chestnuttide/node/tests/test_commits.py
@@ -31,7 +31,7 @@
         cloud.put(store, _keys.owner(SERVICE), b"me")
         owner = _ownership.Ownership(
             service=SERVICE,
-            fence=store.revision,
+            fencing_token=store.revision,
             session=None,
             store=platform.KvStore(
                 http=platform.make_client(max_clients=10),
@@ -43,7 +43,7 @@
             pool=_world.make_pool(2),
             metrics=metrics,
         )
-        rounds = asyncio.ensure_future(_commits.run(owner))
+        rounds = asyncio.ensure_future(_commits.commit_loop(owner))
         try:
             await scenario(owner, store)
         finally:
@@ -58,7 +58,7 @@
 def _plan_two_steps(owner: _ownership.Ownership) -> workloads.Job:
     job = _world.submit(owner.pool, _world.make_step(count=2))
     _world.start_all(owner.pool)
-    _ownership.want_commit(owner, urgent=True)
+    _ownership.request_commit(owner, urgent=True)
     return job
 
 
@@ -81,7 +81,7 @@
         for worker in list(owner.pool.workers.values()):
             for run in list(worker.runs.values()):
                 _world.end_of(owner.pool, run, "done")
-        _ownership.want_commit(owner, urgent=True)
+        _ownership.request_commit(owner, urgent=True)
         # The lost answer is given up after 0.7 s.
         await _until_shown(job, limit_s=0.4)
         record = store.keys[_keys.job(SERVICE, job.spec.id)].value
@@ -172,4 +172,4 @@
     assert job.spec.id in owner.storing
     run = next(each for each in runs if each.job is job)
     _world.end_of(owner.pool, run, "done")
-    _ownership.want_commit(owner, urgent=True)
+    _ownership.request_commit(owner, urgent=True)
--- a/chestnuttide/node/tests/test_release.py
+++ b/chestnuttide/node/tests/test_release.py
@@ -19,7 +19,7 @@
 def _make_owner() -> _ownership.Ownership:
     return _ownership.Ownership(
         service="s",
-        fence=7,
+        fencing_token=7,
         session=_session.Session(settings=None, store=None, peers=None),
         store=None,
         workers_http=None,
@@ -45,7 +45,7 @@
     """Guards against an ownership that ends in an outage for all.
 
     A connection that had just closed counted as an unanswered call, so all
-    runs of a service lapsed while the store was away.
+    runs of a service expired while the store was away.
     """
     by_peer = dict(zip(("a", "b"), outcomes, strict=True))
 
--- a/chestnuttide/node/tests/test_submission.py
+++ b/chestnuttide/node/tests/test_submission.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from chestnuttide.node import _answers
 from chestnuttide.node import _clock
 from chestnuttide.node import _messages
 from chestnuttide.node import _metrics
 from chestnuttide.node import _peers
+from chestnuttide.node import _responses
 from chestnuttide.node import _session
 from chestnuttide.node import _submission
 from chestnuttide import platform
@@ -50,17 +50,17 @@
             ),
             peers=_peers.make_peers(instance="a", data_centre="d"),
         )
-        front = _answers.Front(
+        context = _responses.ApiContext(
             session=session,
             owned={},
             metrics=metrics,
-            answer_by=_clock.now() + stops_in_s,
+            response_deadline=_clock.now() + stops_in_s,
         )
         write = _messages.JobWrite(
             call_id=0, absent_keys=("k",), key="k", value=b""
         )
         began = time.monotonic()
-        outcome = await _submission.store_job(front, write, 2.0)
+        outcome = await _submission.store_job(context, write, 2.0)
         taken_s = time.monotonic() - began
         # The transfer that was given up ends by its own timeout.
         await asyncio.sleep(STORE_TIMEOUT_S)
