--- a/chestnuttide/node/__main__.py
+++ b/chestnuttide/node/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the instance's daemon as a module."""
+"""Runs the instance's daemon for ``python -m chestnuttide.node``."""
 
 import sys
 
--- a/chestnuttide/node/_clock.py
+++ b/chestnuttide/node/_clock.py
@@ -1,17 +1,17 @@
-"""The clock of all leases and timeouts of an instance."""
+"""Clock for the leases and timeouts of an instance."""
 
 import time
 
 
 def now() -> float:
-    """Return seconds that also count while the machine is suspended.
+    """Return a steady time in seconds that includes suspension.
 
-    The steady clock stands still during a suspension, and a lease that was
-    checked on it would seem valid for too long.
+    The monotonic clock stops while the machine is suspended, so a lease that
+    was checked against it would seem valid for too long.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unix_time() -> float:
-    """Return the time of day in seconds since 1970, which may jump."""
+    """Return the seconds since the Unix epoch, which may jump."""
     return time.time()
--- a/chestnuttide/node/_commits.py
+++ b/chestnuttide/node/_commits.py
@@ -66,13 +66,13 @@
         await _collect_changes(owner)
         owner.commit_requested.clear()
         owner.commit_urgent = False
-        while len(owner.rounds) >= MAX_COMMIT_ROUNDS:
+        while len(owner.commit_rounds) >= MAX_COMMIT_ROUNDS:
             await asyncio.wait(
-                owner.rounds, return_when=asyncio.FIRST_COMPLETED
+                owner.commit_rounds, return_when=asyncio.FIRST_COMPLETED
             )
         task = asyncio.ensure_future(_commit_round(owner))
-        owner.rounds.add(task)
-        task.add_done_callback(owner.rounds.discard)
+        owner.commit_rounds.add(task)
+        task.add_done_callback(owner.commit_rounds.discard)
 
 
 async def _collect_changes(owner: _ownership.Ownership) -> None:
@@ -88,8 +88,8 @@
 
 async def commit_all(owner: _ownership.Ownership) -> None:
     """Wait for the rounds in progress, then store all changed records."""
-    if owner.rounds:
-        await asyncio.wait(owner.rounds)
+    if owner.commit_rounds:
+        await asyncio.wait(owner.commit_rounds)
     await _commit_round(owner)
 
 
@@ -102,18 +102,19 @@
     dirty = [
         job
         for job in owner.pool.jobs.values()
-        if job.dirty and (_has_ended(job) or job.spec.id not in owner.storing)
+        if job.dirty
+        and (_has_ended(job) or job.spec.id not in owner.jobs_in_commit)
     ]
     live = [job for job in dirty if not _has_ended(job)]
     ended = [job for job in dirty if _has_ended(job)]
     for job in dirty:
         job.dirty = False
-    owner.storing.update(job.spec.id for job in live)
+    owner.jobs_in_commit.update(job.spec.id for job in live)
     await asyncio.gather(
         *(_commit_jobs(owner, jobs, ended=False) for jobs in _chunks(live)),
         *(_commit_jobs(owner, jobs, ended=True) for jobs in _chunks(ended)),
     )
-    if owner.removals and not owner.deposed.is_set():
+    if owner.obsolete_keys and not owner.deposed.is_set():
         await _remove_old_records(owner)
 
 
@@ -142,7 +143,7 @@
         await _commit_until_stored(owner, jobs, ended=ended)
     finally:
         if not ended:
-            owner.storing.difference_update(job.spec.id for job in jobs)
+            owner.jobs_in_commit.difference_update(job.spec.id for job in jobs)
         if any(job.dirty for job in jobs):
             owner.commit_requested.set()
 
@@ -262,7 +263,9 @@
         ended = state in workloads.TERMINAL_STATES
         if job.shown_state in workloads.TERMINAL_STATES and not ended:
             # Stored after the job ended, and no longer needed.
-            owner.removals.append(_keys.progress(owner.service, job.spec.id))
+            owner.obsolete_keys.append(
+                _keys.progress(owner.service, job.spec.id)
+            )
             continue
         job.progress_revision = 0 if ended else revision
         if ended and job.shown_state != state:
@@ -309,7 +312,10 @@
 async def _remove_old_records(owner: _ownership.Ownership) -> None:
     """Remove records of jobs whose state callers may no longer query."""
     limit = platform.MAX_TRANSACTION_ENTRIES - 1
-    keys, owner.removals = owner.removals[:limit], owner.removals[limit:]
+    keys, owner.obsolete_keys = (
+        owner.obsolete_keys[:limit],
+        owner.obsolete_keys[limit:],
+    )
     try:
         await platform.commit(
             owner.store,
--- a/chestnuttide/node/_daemon.py
+++ b/chestnuttide/node/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of an instance: wiring, start, reload and planned stop."""
+"""The daemon of an instance: setup, start, reload and graceful shutdown."""
 
 import asyncio
 import collections.abc
@@ -34,46 +34,46 @@
 
 LOG = telemetry.make_logger("daemon")
 
-# The store answers in milliseconds, and sixty times as slowly at times.
+# The store answers within milliseconds, but at times 60 times as slowly.
 STORE_TIMEOUT_S = 0.7
 
-# Transfers at once: a look and some orders for each worker.
+# Concurrent transfers: a poll and some commands for each worker.
 MAX_WORKER_TRANSFERS = 1000
 MAX_STORE_TRANSFERS = 100
 
-# Connections to one worker: its look, and orders beside it.
+# Connections to one worker: its poll and concurrent commands.
 CONNECTIONS_PER_WORKER = 4
 
 CLAIM_PERIOD_S = 0.1
 RESTART_PAUSE_S = 0.2
 
-# The balancer takes an instance out of rotation after two missed checks, one
-# a second; until then new connections still arrive.
+# The balancer takes an instance out of rotation after two failed checks, which
+# it makes once a second. New connections arrive until then.
 ROTATION_PERIOD_S = 2.6
 
-# Time kept free between the last answer and SIGKILL.
+# Time reserved between the last response and SIGKILL.
 STOP_MARGIN_S = 0.5
 
-# Time that an answer takes to leave once it is decided.
-ANSWER_MARGIN_S = 0.2
+# Time to send a response once it is determined.
+RESPONSE_MARGIN_S = 0.2
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Daemon:
-    """The parts of a running daemon.
+    """State of a running daemon.
 
     Attributes
     ----------
     session : Session
         The instance's view of the cell.
-    context : Front
-        The callers' handlers.
+    context : ApiContext
+        State of the handlers of callers' requests.
     owned : dict of str to Ownership
         Services that this instance owns.
     workers_http : HttpClient
         Client of the workers.
     metrics : NodeMetrics
-        Counters.
+        Counters and histograms.
     tasks : set of Task
         Background loops.
     """
@@ -91,8 +91,8 @@
 ) -> None:
     """Serve until SIGTERM."""
     daemon = await _make_daemon(settings, metrics)
-    # The modules and wiring live until the end; without them the collector
-    # looks only at what requests have made.
+    # Modules and setup objects live until the process exits. Freezing them
+    # makes the collector scan only objects that were created later.
     gc.freeze()
     servers = _listen(daemon, settings)
     stop = asyncio.Event()
@@ -259,21 +259,21 @@
         [], collections.abc.Coroutine[None, None, None]
     ],
 ) -> None:
-    """Run a loop, and again if it fails."""
+    """Run a loop in the background and restart it if it fails or returns."""
 
     async def keep_running() -> None:
         while not daemon.session.stopping:
             try:
                 await make_loop()
             except Exception:
-                LOG.exception("Loop has failed.", loop=name)
+                LOG.exception("Background loop has failed.", loop=name)
             await asyncio.sleep(RESTART_PAUSE_S)
 
     daemon.tasks.add(asyncio.ensure_future(keep_running()))
 
 
 async def _claim_loop(daemon: Daemon) -> None:
-    """Claim services without an owner, and own those that were gained."""
+    """Claim services without an owner and run the ownerships gained."""
     session = daemon.session
     running: dict[str, asyncio.Task[None]] = {}
     while True:
@@ -281,7 +281,7 @@
         for service in _services(session):
             if _claims.should_claim(session, service, _clock.now()):
                 await _claims.claim(session, service)
-            _follow_ownership(daemon, running, service)
+            _update_ownership(daemon, running, service)
         try:
             async with asyncio.timeout(CLAIM_PERIOD_S):
                 await session.changed.wait()
@@ -295,14 +295,14 @@
     return session.config.services
 
 
-def _follow_ownership(
+def _update_ownership(
     daemon: Daemon, running: dict[str, asyncio.Task[None]], service: str
 ) -> None:
     session = daemon.session
     owned = daemon.owned.get(service)
     gained = _claims.owns_service(session, service) and not session.stopping
-    fence = session.owners[service].fencing_token if gained else 0
-    if owned is not None and owned.fencing_token != fence:
+    fencing_token = session.owners[service].fencing_token if gained else 0
+    if owned is not None and owned.fencing_token != fencing_token:
         if not session.stopping and session.cell_known:
             owned.deposed.set()
     task = running.get(service)
@@ -311,19 +311,21 @@
     daemon.owned.pop(service, None)
     if not gained:
         return
-    if session.failed_fencing_tokens.get(service) == fence:
-        # Another try to replace the failed ownership.
+    if session.failed_fencing_tokens.get(service) == fencing_token:
+        # Tries again to replace the failed ownership.
         running[service] = asyncio.ensure_future(
-            _claims.claim(session, service, replaced=fence)
+            _claims.claim(session, service, replaced=fencing_token)
         )
         return
-    if owned is not None and owned.fencing_token == fence:
-        LOG.warning("Ownership has failed.", service=service, fence=fence)
-        session.failed_fencing_tokens[service] = fence
+    if owned is not None and owned.fencing_token == fencing_token:
+        LOG.warning(
+            "Ownership has failed.", service=service, fence=fencing_token
+        )
+        session.failed_fencing_tokens[service] = fencing_token
         return
     owner = _ownership.Ownership(
         service=service,
-        fencing_token=fence,
+        fencing_token=fencing_token,
         session=session,
         store=session.store,
         workers_http=daemon.workers_http,
@@ -347,7 +349,7 @@
             lease_s=min(
                 _ownership.RUN_LEASE_S, bounds.worker_lease_max_ms / 1000
             ),
-            # The allowed time is left for clocks that differ.
+            # The tolerance for early starts is left for clock differences.
             early_s=0.0,
             stop_s=bounds.stop_ms / 1000,
         ),
@@ -355,13 +357,13 @@
 
 
 def _reload(settings: _settings.NodeSettings) -> None:
-    """Check a changed settings file; it takes effect at the next start."""
+    """Check the settings file; changes take effect at the next start."""
     try:
         changed = _settings.load_settings() != settings
     except errors.SettingsError as error:
-        LOG.error("Settings are not reloaded.", error=str(error))
+        LOG.error("Changed settings are invalid.", error=str(error))
         return
-    LOG.info("Settings were read again.", changed=changed)
+    LOG.info("Settings file was checked.", changed=changed)
 
 
 async def _stop(
@@ -369,18 +371,20 @@
     servers: list[httpserver.HTTPServer],
     settings: _settings.NodeSettings,
 ) -> None:
-    """Hand the services over, answer what is under way, and end."""
-    began = _clock.now()
+    """Hand over the services, finish requests in progress, and leave."""
+    started_at = _clock.now()
     session = daemon.session
     session.stopping = True
     daemon.context.stopping = True
-    limit = began + settings.bounds.grace_s - STOP_MARGIN_S
-    daemon.context.response_deadline = limit - ANSWER_MARGIN_S
+    limit = started_at + settings.bounds.grace_s - STOP_MARGIN_S
+    daemon.context.response_deadline = limit - RESPONSE_MARGIN_S
     LOG.info("Stopping.", owned=sorted(daemon.owned))
     await asyncio.gather(
         *(_release.hand_over(owner) for owner in daemon.owned.values())
     )
-    await asyncio.sleep(max(0.0, ROTATION_PERIOD_S - (_clock.now() - began)))
+    await asyncio.sleep(
+        max(0.0, ROTATION_PERIOD_S - (_clock.now() - started_at))
+    )
     servers[0].stop()
     while daemon.context.in_flight and _clock.now() < limit:
         await asyncio.sleep(CLAIM_PERIOD_S / 2)
@@ -390,5 +394,5 @@
     LOG.info(
         "Stopped.",
         unanswered=daemon.context.in_flight,
-        seconds=round(_clock.now() - began, 2),
+        seconds=round(_clock.now() - started_at, 2),
     )
--- a/chestnuttide/node/_dispatch.py
+++ b/chestnuttide/node/_dispatch.py
@@ -35,7 +35,7 @@
 async def _serve(
     context: _responses.ApiContext, request: httputil.HTTPServerRequest
 ) -> None:
-    began = _clock.now()
+    started_at = _clock.now()
     try:
         response = await _dispatch(context, request)
     except errors.SchedulerError as error:
@@ -49,7 +49,7 @@
         )
     finally:
         context.in_flight -= 1
-    _record_response(context, response, _clock.now() - began)
+    _record_response(context, response, _clock.now() - started_at)
     body = json.dumps(response.body).encode()
     headers = httputil.HTTPHeaders(
         {
--- a/chestnuttide/node/_keys.py
+++ b/chestnuttide/node/_keys.py
@@ -1,28 +1,28 @@
-"""Names of the keys in the store."""
+"""Keys in the metadata store."""
 
 CELL = "cell/"
 MEMBERS = "cell/members/"
 OWNERS = "cell/owners/"
 RELEASED = "cell/released/"
 
-# Written by the platform, never by an instance.
+# Written by the platform and never by an instance.
 OPERATOR = "op/"
 CONFIG = "op/config"
 WORKERS = "servers/"
 
 
 def member(instance: str) -> str:
-    """Return the key of an instance's address."""
+    """Return the key of an instance's membership."""
     return f"{MEMBERS}{instance}"
 
 
 def owner(service: str) -> str:
-    """Return the key whose revision is the fencing token of an owner."""
+    """Return the owner key of a service; its revision is the fencing token."""
     return f"{OWNERS}{service}"
 
 
 def released(service: str) -> str:
-    """Return the key that names the last owner that stopped in order."""
+    """Return the key with the fencing token that was released last."""
     return f"{RELEASED}{service}"
 
 
@@ -42,5 +42,5 @@
 
 
 def progress(service: str, job_id: str = "") -> str:
-    """Return the key of a job's progress, or their prefix."""
+    """Return the key of a job's progress, or the prefix for a service."""
     return f"progress/{service}/{job_id}"
--- a/chestnuttide/node/_main.py
+++ b/chestnuttide/node/_main.py
@@ -1,4 +1,4 @@
-"""Start of the instance's daemon."""
+"""Entry point of the instance's daemon."""
 
 import asyncio
 import sys
@@ -11,17 +11,17 @@
 
 LOG = telemetry.make_logger("main")
 
-# Exit status when the settings cannot be used.
+# Exit status if the settings are invalid.
 BAD_SETTINGS_STATUS = 2
 
 
 def main() -> int:
-    """Serve until SIGTERM; return the exit status."""
+    """Run the daemon until SIGTERM; return the exit status."""
     try:
         settings = _settings.load_settings()
     except errors.SettingsError as error:
         telemetry.configure_logging("info", "", "node", sys.stdout)
-        LOG.error("Settings are unusable.", error=str(error))
+        LOG.error("Settings are invalid.", error=str(error))
         return BAD_SETTINGS_STATUS
     metrics = _metrics.make_metrics()
     telemetry.configure_bounded_logging(
--- a/chestnuttide/node/_messages.py
+++ b/chestnuttide/node/_messages.py
@@ -28,16 +28,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StateReply:
-    """The owner's answer to `StateRead`.
+    """The owner's reply to `StateRead`.
 
     Attributes
     ----------
     call_id : int
         Number of the call.
     owned : bool
-        Whether the answering instance owns the service.
+        Whether the replying instance owns the service.
     state : str
-        State that may be shown; empty if the job is not known.
+        State that callers may be shown; empty if the job is unknown.
     queue : str
         Queue of the job.
     """
@@ -50,7 +50,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PendingRead:
-    """Asks a service's owner how many jobs of a queue have not begun.
+    """Asks a service's owner how many jobs of a queue have not started.
 
     Attributes
     ----------
@@ -69,14 +69,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PendingReply:
-    """The owner's answer to `PendingRead`.
+    """The owner's reply to `PendingRead`.
 
     Attributes
     ----------
     call_id : int
         Number of the call.
     owned : bool
-        Whether the answering instance owns the service.
+        Whether the replying instance owns the service.
     count : int
         Accepted jobs for which no task has started.
     """
@@ -88,18 +88,18 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class AdvisorQuery:
-    """Asks an instance to call the advisor.
+    """Asks an instance to query the advisor.
 
     Attributes
     ----------
     call_id : int
         Number of the call.
     step : str
-        Job, occurrence and step.
+        Job, occurrence and step, joined by dots.
     workers : tuple of str
         Worker ids.
     timeout_s : float
-        Limit of the advisor's answer in seconds.
+        Timeout of the advisor's answer, in seconds.
     """
 
     call_id: int
@@ -110,18 +110,18 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class AdvisorReply:
-    """The advisor's answer.
+    """The reply to `AdvisorQuery`.
 
     Attributes
     ----------
     call_id : int
         Number of the call.
     answered : bool
-        Whether the advisor has answered.
+        Whether the advisor answered.
     tickets : tuple of (str, str)
         Worker id and ticket of each worker that may run the step.
     age_s : float
-        Seconds since the advisor's answer.
+        Age of the advisor's answer, in seconds.
     """
 
     call_id: int
@@ -132,14 +132,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class CellRead:
-    """Asks for a newer configuration and for the services' owners.
+    """Asks a peer for a newer configuration and the services' owners.
 
     Attributes
     ----------
     call_id : int
         Number of the call.
     known_version : int
-        Version that the sender has.
+        Configuration version of the sender; 0 if it has none.
     """
 
     call_id: int
@@ -148,7 +148,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class CellReply:
-    """What the answering instance knows of the cell.
+    """The reply to `CellRead`.
 
     Attributes
     ----------
@@ -167,7 +167,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class JobNotice:
-    """Tells a service's owner of a job before the store's watch does.
+    """Notifies a service's owner of a job ahead of the store's watch.
 
     Attributes
     ----------
@@ -178,7 +178,7 @@
     value : bytes
         The job's record; empty if its cancellation was stored.
     stored : bool
-        Whether its write was acknowledged; before, it is under way.
+        Whether its write was acknowledged. Otherwise it is in progress.
     """
 
     service: str
@@ -211,7 +211,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class JobWriteReply:
-    """What became of a `JobWrite`.
+    """The reply to `JobWrite`.
 
     Attributes
     ----------
@@ -227,14 +227,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Release:
-    """Asks for the removal of the sender's own ownership from the store.
+    """Asks a peer to remove the sender's ownership from the store.
 
     Attributes
     ----------
     call_id : int
         Number of the call.
     service : str
-        Service that is given up.
+        Service to release.
     fencing_token : int
         Fencing token of the ownership.
     """
@@ -246,14 +246,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ReleaseReply:
-    """What became of a `Release`.
+    """The reply to `Release`.
 
     Attributes
     ----------
     call_id : int
         Number of the call.
     released : bool
-        Whether the ownership is gone.
+        Whether the ownership no longer exists.
     """
 
     call_id: int
--- a/chestnuttide/node/_metrics.py
+++ b/chestnuttide/node/_metrics.py
@@ -25,12 +25,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class NodeMetrics:
-    """Metrics by name, in one registry.
+    """Metrics of a daemon in one registry.
 
     Attributes
     ----------
     registry : Registry
-        All of them, for the metrics page.
+        Registry that the metrics page renders.
     answers : Counter
         ``chestnuttide_answers_total{call,status}``.
     refusals : Counter
@@ -47,7 +47,8 @@
         ``chestnuttide_start_wait_seconds{queue}``, from a job's arrival at
         its owner to its first confirmed start.
     job_seconds : Histogram
-        ``chestnuttide_job_seconds{queue,state}``, until the stored end.
+        ``chestnuttide_job_seconds{queue,state}``, from a job's arrival until
+        its end is stored.
     dropped_log_lines : Counter
         ``chestnuttide_dropped_log_lines_total``.
     """
@@ -65,7 +66,7 @@
 
 
 def make_metrics() -> NodeMetrics:
-    """Return the metrics of a daemon in a registry of their own."""
+    """Return the metrics of a daemon in a new registry."""
     registry = collectors.Registry()
 
     def counter(name: str, doc: str) -> aioprometheus.Counter:
--- a/chestnuttide/node/_owner.py
+++ b/chestnuttide/node/_owner.py
@@ -39,7 +39,7 @@
 async def run_ownership(owner: _ownership.Ownership) -> None:
     """Run a service as its owner until deposed; never raises."""
     loops: list[asyncio.Task[None]] = []
-    began = _clock.now()
+    started_at = _clock.now()
     LOG.info(
         "Takeover has started.",
         service=owner.service,
@@ -54,7 +54,7 @@
             fence=owner.fencing_token,
             jobs=len(owner.pool.active),
             workers=len(owner.pool.workers),
-            seconds=round(_clock.now() - began, 3),
+            seconds=round(_clock.now() - started_at, 3),
         )
         loops = [
             asyncio.ensure_future(each)
@@ -240,7 +240,7 @@
                 workloads.stop_runs(owner.pool, unit)
             if job.progress_revision:
                 key = _keys.progress(owner.service, job.spec.id)
-                owner.removals.append(key)
+                owner.obsolete_keys.append(key)
             del owner.pool.active[job.spec.id]
             del owner.pool.jobs[job.spec.id]
             LOG.info(
@@ -249,17 +249,17 @@
 
 
 def _drop_ended_jobs(owner: _ownership.Ownership, unix_time: float) -> None:
-    keep_s = owner.session.settings.bounds.status_s + STATUS_MARGIN_S
+    retention_s = owner.session.settings.bounds.status_s + STATUS_MARGIN_S
     old = [
         job_id
         for job_id, job in owner.pool.jobs.items()
         if job.shown_state in workloads.TERMINAL_STATES
         and not job.dirty
-        and unix_time - job.ended_unix_s > keep_s
+        and unix_time - job.ended_unix_s > retention_s
     ]
     for job_id in old:
         del owner.pool.jobs[job_id]
-        owner.removals.append(_keys.job(owner.service, job_id))
-        owner.removals.append(_keys.cancel(owner.service, job_id))
+        owner.obsolete_keys.append(_keys.job(owner.service, job_id))
+        owner.obsolete_keys.append(_keys.cancel(owner.service, job_id))
     if old:
         _ownership.request_commit(owner, urgent=False)
--- a/chestnuttide/node/_ownership.py
+++ b/chestnuttide/node/_ownership.py
@@ -31,7 +31,7 @@
     service : str
         The service.
     fencing_token : int
-        Fencing token of its commands.
+        Fencing token that it sends with its commands.
     session : Session
         The instance's membership and its view of the cell.
     store : KvStore
@@ -50,9 +50,9 @@
         Set when records have changed and have to be stored.
     commit_urgent : bool
         Whether a start or a caller waits for the next commit.
-    rounds : set of Task
+    commit_rounds : set of Task
         Commit rounds in progress.
-    storing : set of str
+    jobs_in_commit : set of str
         Ids of live jobs whose progress is being stored.
     store_latency_s : float
         Time that the store took for the last answered commit, in seconds.
@@ -66,7 +66,7 @@
         Commands in progress.
     advisor_queries : dict of str to int
         Number of advisor queries in progress, by instance.
-    removals : list of str
+    obsolete_keys : list of str
         Keys of records that can be removed from the store.
     ready : bool
         Whether the takeover is complete.
@@ -91,15 +91,15 @@
     deposed: asyncio.Event = attrs.field(factory=asyncio.Event)
     commit_requested: asyncio.Event = attrs.field(factory=asyncio.Event)
     commit_urgent: bool = False
-    rounds: set[asyncio.Task[None]] = attrs.field(factory=set)
-    storing: set[str] = attrs.field(factory=set)
+    commit_rounds: set[asyncio.Task[None]] = attrs.field(factory=set)
+    jobs_in_commit: set[str] = attrs.field(factory=set)
     store_latency_s: float = 0.0
     committed: asyncio.Event = attrs.field(factory=asyncio.Event)
     plan_requested: asyncio.Event = attrs.field(factory=asyncio.Event)
     poll_loops: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
     commands: set[asyncio.Task[None]] = attrs.field(factory=set)
     advisor_queries: dict[str, int] = attrs.field(factory=dict)
-    removals: list[str] = attrs.field(factory=list)
+    obsolete_keys: list[str] = attrs.field(factory=list)
     ready: bool = False
     releasing: bool = False
     former_owner_stopped: bool = False
--- a/chestnuttide/node/_peers.py
+++ b/chestnuttide/node/_peers.py
@@ -16,8 +16,8 @@
 
 KIND = "node"
 
-# A peer answers from memory within a round trip; the limit leaves room for a
-# slowed machine.
+# A peer replies from memory within one round trip. The rest of the time allows
+# for a slow machine.
 CALL_TIMEOUT_S = 0.5
 
 Handler = collections.abc.Callable[[object], collections.abc.Awaitable[object]]
@@ -25,7 +25,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Peers:
-    """Connections to all other instances.
+    """Connections to the other instances.
 
     Attributes
     ----------
@@ -36,9 +36,9 @@
     calls : Calls
         Calls that wait for their replies.
     handlers : dict of type to function
-        Coroutine function that answers each class of calls.
+        Coroutine function that handles each class of message.
     tasks : set of Task
-        Answers under way.
+        Handlers in progress.
     """
 
     instance: str
@@ -49,7 +49,7 @@
 
 
 def make_peers(*, instance: str, data_centre: str) -> Peers:
-    """Return the connections of an instance; none is open yet."""
+    """Return the connections of an instance, none of which is open yet."""
     calls = mesh.Calls()
     network = mesh.Network(
         hello=mesh.Hello(
@@ -68,11 +68,13 @@
         _receive(peers, connection, message)
 
     def disconnected(connection: mesh.Connection) -> None:
-        LOG.info("Connection lost.", peer=connection.peer.sender)
+        LOG.info("Connection to peer lost.", peer=connection.peer.sender)
         mesh.fail_connection(calls, connection)
 
     def connected(connection: mesh.Connection) -> None:
-        LOG.info("Connection open.", peer=connection.peer.sender)
+        LOG.info(
+            "Connection to peer established.", peer=connection.peer.sender
+        )
 
     network.on_message = receive
     network.on_connected = connected
@@ -81,12 +83,12 @@
 
 
 async def listen(peers: Peers, *, ip: str, ports: tuple[int, int]) -> int:
-    """Listen on the first free port of a range and return it."""
+    """Listen on the first free port of a range and return the port."""
     for port in range(ports[0], ports[1] + 1):
         try:
             return await mesh.listen(peers.network, ip=ip, port=port)
         except OSError as error:
-            LOG.warning("Port is taken.", port=port, error=str(error))
+            LOG.warning("Port is in use.", port=port, error=str(error))
     raise errors.SettingsError(
         message=f"No port of {ports[0]} to {ports[1]} is free.",
         remedy="Free a port or widen mesh_ports.",
@@ -98,7 +100,7 @@
 ) -> None:
     """Keep one connection to each member.
 
-    Of each pair of instances, the one with the greater name dials.
+    In each pair of instances, the one whose name sorts last dials.
     """
     mesh.set_addresses(
         peers.network,
@@ -111,7 +113,7 @@
 
 
 def connected_names(peers: Peers) -> list[str]:
-    """Return the names of the instances that are connected."""
+    """Return the names of the connected instances in sorted order."""
     return sorted(name for _, name in peers.network.connections)
 
 
@@ -127,7 +129,7 @@
     Raises
     ------
     errors.PeerNotConnectedError
-        If the instance is not connected; nothing was sent.
+        If the instance is not connected. Nothing was sent.
     errors.MeshError
         If the instance does not answer in time.
     """
@@ -143,7 +145,7 @@
         async with asyncio.timeout(timeout_s):
             return await future
     except TimeoutError as error:
-        # The connection may have gone silent for good; a new one may work.
+        # The connection may be dead, and a new one may work.
         mesh.abort(connection)
         raise errors.MeshError(
             message=f"Instance {name} did not answer in {timeout_s} s.",
@@ -154,7 +156,7 @@
 
 
 def notify(peers: Peers, name: str, message: object) -> None:
-    """Send a message whose loss another path makes good."""
+    """Send a message without delivery guarantee; a watch recovers its loss."""
     connection = peers.network.connections.get((KIND, name))
     if connection is not None:
         mesh.send_if_possible(connection, message)
@@ -166,10 +168,15 @@
     handler = peers.handlers.get(type(message))
     if handler is None:
         if not hasattr(message, "call_id"):
-            LOG.warning("Unexpected message.", kind=type(message).__name__)
+            LOG.warning(
+                "Peer sent an unexpected message.", kind=type(message).__name__
+            )
             return
         if not mesh.resolve(peers.calls, connection, message):
-            LOG.debug("Late reply dropped.", peer=connection.peer.sender)
+            LOG.debug(
+                "Reply came too late and is dropped.",
+                peer=connection.peer.sender,
+            )
         return
     task = asyncio.ensure_future(_handle_call(connection, handler, message))
     peers.tasks.add(task)
@@ -186,7 +193,7 @@
         mesh.send_if_possible(connection, reply)
     except errors.SchedulerError as error:
         LOG.warning(
-            "Call of a peer failed.",
+            "Call from a peer failed.",
             peer=connection.peer.sender,
             kind=type(message).__name__,
             error=str(error),
--- a/chestnuttide/node/_release.py
+++ b/chestnuttide/node/_release.py
@@ -109,15 +109,17 @@
     owner.releasing = False
 
 
-def _release_transaction(service: str, fence: int) -> platform.Transaction:
+def _release_transaction(
+    service: str, fencing_token: int
+) -> platform.Transaction:
     """Return the transaction that releases an ownership.
 
     Its owner sends no more commands, which the released key records.
     """
     key = _keys.owner(service)
     return platform.Transaction(
-        expect={key: fence},
-        put={_keys.released(service): str(fence).encode()},
+        expect={key: fencing_token},
+        put={_keys.released(service): str(fencing_token).encode()},
         remove=(key,),
     )
 
--- a/chestnuttide/node/_session.py
+++ b/chestnuttide/node/_session.py
@@ -69,7 +69,7 @@
     instance, incarnation : str
         Name of the instance, and id of the start of its daemon.
     fencing_token : int
-        Fencing token: the store revision at which it became the owner.
+        Store revision at which it became the owner.
     """
 
     instance: str
@@ -203,7 +203,7 @@
     on_working: collections.abc.Callable[[bool], None],
     pause_s: float = 0.0,
 ) -> None:
-    """Report the items under a prefix and all later changes, for ever.
+    """Report the items under a prefix and all later changes until cancelled.
 
     Parameters
     ----------
@@ -257,7 +257,7 @@
 
 
 async def follow_cell(session: Session) -> None:
-    """Keep members and owners up to date, for ever."""
+    """Keep members and owners up to date until cancelled."""
 
     def on_list(items: tuple[platform.Item, ...]) -> None:
         for name in list(session.members):
@@ -343,7 +343,7 @@
 
 
 async def follow_config(session: Session) -> None:
-    """Adopt each configuration that the operator writes, for ever."""
+    """Adopt each configuration that the operator writes until cancelled."""
 
     def on_item(item: platform.Item) -> None:
         if item.key == _keys.CONFIG and not item.removed:
@@ -413,14 +413,14 @@
             continue
         if reply.document:
             adopt_config(session, reply.document, source=name)
-        for service, instance, incarnation, fence in reply.owners:
+        for service, instance, incarnation, fencing_token in reply.owners:
             _adopt_owner(
                 session,
                 service,
                 Owner(
                     instance=instance,
                     incarnation=incarnation,
-                    fencing_token=fence,
+                    fencing_token=fencing_token,
                 ),
             )
 
--- a/chestnuttide/node/_settings.py
+++ b/chestnuttide/node/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance, read from JSON with comments."""
+"""Settings of an instance, read from a file of JSON with comments."""
 
 import difflib
 import os
@@ -21,9 +21,9 @@
     Attributes
     ----------
     callers : str
-        Requests of callers.
+        Address for callers' requests.
     readiness : str
-        The balancer's readiness check.
+        Address for the balancer's readiness check.
     """
 
     callers: str
@@ -48,16 +48,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class BoundSettings:
-    """Bounds of the deployment.
+    """Time limits set by the deployment.
 
     Attributes
     ----------
     worker_lease_max_ms : float
-        Longest lease of a worker's runs, in milliseconds.
+        Longest lease of a run on a worker, in milliseconds.
     stop_ms : float
-        Longest time that a stop of a run takes, in milliseconds.
+        Longest time that a run takes to stop, in milliseconds.
     status_s : float
-        Time for which an ended job's state can be read, in seconds.
+        Time for which callers can query an ended job's state, in seconds.
     grace_s : float
         Time from SIGTERM to SIGKILL, in seconds.
     """
@@ -75,11 +75,11 @@
     Attributes
     ----------
     core_share : float
-        Share of a core's time.
+        Share of one core's time.
     core_speed : float
-        Speed of a core; 1 is the platform's reference.
+        Speed of the core; 1 is the platform's reference core.
     link_mbps : float
-        Bandwidth of its link, in megabits a second.
+        Bandwidth of the network link, in megabits per second.
     """
 
     core_share: float = 1.0
@@ -88,7 +88,7 @@
 
     @property
     def cores(self) -> float:
-        """Processor time of the instance, in cores of the reference."""
+        """Processor time of the instance, in reference cores."""
         return self.core_share * self.core_speed
 
 
@@ -101,11 +101,11 @@
     instance : str
         Name of the instance.
     data_centre : str
-        Its data centre.
+        Data centre of the instance.
     ip : str
-        Its address.
+        IP address of the instance.
     listen : Listen
-        What it listens on.
+        Addresses that it listens on.
     mesh_ports : tuple of (int, int)
         First and last port for connections between instances.
     store : StoreSettings
@@ -113,15 +113,15 @@
     advisor : str or None
         Address of the policy advisor.
     bounds : BoundSettings
-        Bounds of the deployment.
+        Time limits set by the deployment.
     capacity : CapacitySettings
         What the instance may use of its machine.
     metrics_port : int
-        Port of the metrics.
+        Port of the metrics page.
     log_level : str
-        Least severity that is logged.
+        Lowest severity that is logged.
     log_lines_per_s : int
-        Most lines a second; further ones are counted and dropped.
+        Maximum log lines per second; further lines are counted and dropped.
     """
 
     instance: str
@@ -139,13 +139,13 @@
 
 
 def load_settings(path: str | None = None) -> NodeSettings:
-    """Return the settings in a file, by default the variable's.
+    """Load the settings from a file, by default `SETTINGS_VARIABLE`'s.
 
     Raises
     ------
     errors.SettingsError
         If the file cannot be read, names an unknown field or has a value out
-        of range; the message names file, field and remedy.
+        of range. The message names the file, the field and a remedy.
     """
     path = path or os.environ.get(SETTINGS_VARIABLE, "")
     try:
@@ -213,6 +213,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP and the port of ``ip:port``."""
+    """Split ``ip:port`` into the IP address and the port."""
     ip, _, port = address.rpartition(":")
     return ip, int(port)
--- a/chestnuttide/node/tests/test_cell.py
+++ b/chestnuttide/node/tests/test_cell.py
@@ -1,4 +1,4 @@
-"""Real daemons on loopback: jobs, takeovers, outages and bad input."""
+"""A cell of real daemons on loopback with stand-ins of the platform."""
 
 import asyncio
 import collections.abc
@@ -20,7 +20,7 @@
     ],
     folder: pathlib.Path,
 ) -> None:
-    """Run a scenario in a cell."""
+    """Run a scenario in a new cell and check its runs afterwards."""
 
     async def main() -> None:
         async with node_cell.run_cell(folder) as cell:
@@ -30,10 +30,10 @@
     asyncio.run(main())
 
 
-def test_jobs_run_once_and_are_shown_everywhere(
+def test_jobs_run_once_and_every_instance_shows_them(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against lost and doubled jobs on a calm day."""
+    """Guards against lost and duplicate jobs without any fault."""
 
     async def scenario(cell: node_cell.Cell) -> None:
         for number, job_id in enumerate(JOBS):
@@ -57,13 +57,13 @@
     [
         pytest.param(signal.SIGKILL, id="killed"),
         pytest.param(signal.SIGSTOP, id="paused"),
-        pytest.param(signal.SIGTERM, id="stopped-in-order"),
+        pytest.param(signal.SIGTERM, id="terminated"),
     ],
 )
-def test_work_goes_on_when_its_owner_is_gone(
+def test_work_continues_after_the_owner_fails(
     fault: signal.Signals, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against jobs that end with their owner, or run twice."""
+    """Guards against jobs that are lost with their owner, or run twice."""
 
     async def scenario(cell: node_cell.Cell) -> None:
         for worker in cell.workers:
@@ -85,10 +85,10 @@
     run(scenario, tmp_path)
 
 
-def test_an_outage_of_the_store_is_refused_truthfully(
+def test_jobs_refused_during_a_store_outage_never_run(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against refused jobs that run, and against an idle owner."""
+    """Guards against refused jobs that run and an owner that stays idle."""
 
     async def scenario(cell: node_cell.Cell) -> None:
         cell.store.refusal = 503
@@ -113,10 +113,10 @@
     run(scenario, tmp_path)
 
 
-def test_lost_answers_of_the_store_run_nothing_twice(
+def test_no_job_runs_twice_if_store_answers_are_lost(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against writes that are repeated after they took effect."""
+    """Guards against retried writes that had already taken effect."""
 
     async def scenario(cell: node_cell.Cell) -> None:
         for job_id in JOBS:
@@ -134,7 +134,7 @@
 def test_a_cancelled_job_stops_and_stays_cancelled(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against runs that go on after their job's cancellation."""
+    """Guards against runs that continue after their job was cancelled."""
 
     async def scenario(cell: node_cell.Cell) -> None:
         for worker in cell.workers:
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize(
     ("method", "path", "body", "status"),
     [
-        pytest.param("POST", JOBS[0], b"{", 400, id="no-json"),
+        pytest.param("POST", JOBS[0], b"{", 400, id="invalid-json"),
         pytest.param("POST", JOBS[0], b'{"steps":[]}', 400, id="no-steps"),
         pytest.param(
             "POST",
@@ -173,14 +173,14 @@
         pytest.param("POST", JOBS[0], b"x" * 70_000, 413, id="too-large"),
     ],
 )
-def test_bad_input(
+def test_bad_input_is_refused(
     method: str,
     path: str,
     body: bytes | None,
     status: int,
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against bad input that is accepted or disturbs others."""
+    """Guards against bad input that is accepted or affects other jobs."""
 
     async def scenario(cell: node_cell.Cell) -> None:
         node = cell.nodes[0]
@@ -195,10 +195,13 @@
     run(scenario, tmp_path)
 
 
-def test_a_new_config_is_in_force_and_unknown_paths_are_refused(
+def test_a_new_config_takes_effect_in_time(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against an old configuration after the new one's bound."""
+    """Guards against requests served by a configuration that was replaced.
+
+    A path that only the old configuration has is refused after 2 s.
+    """
 
     async def scenario(cell: node_cell.Cell) -> None:
         cloud.put(
--- a/chestnuttide/node/tests/test_claims.py
+++ b/chestnuttide/node/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""The order in which instances claim a service."""
+"""Order in which instances claim a service."""
 
 import pytest
 
@@ -50,7 +50,7 @@
 def test_the_largest_live_instance_claims_first(
     cores: dict[str, float], former: str, first: str
 ) -> None:
-    """Guards against owners on instances that are too small for the work."""
+    """Guards against owners on instances that are too small for the load."""
     session = _make_session(cores, former=former)
     assert _claims.rank_members(session, SERVICE)[0] == first
 
@@ -58,16 +58,16 @@
 @pytest.mark.parametrize(
     ("own_cores", "now", "claims"),
     [
-        pytest.param(0.5, 0.35, False, id="small-waits-for-larger-ones"),
-        pytest.param(0.5, 0.45, True, id="small-claims-if-none-comes"),
-        pytest.param(2.0, 0.15, True, id="large-hardly-waits"),
-        pytest.param(0.5, 2.0, True, id="known-for-long"),
+        pytest.param(0.5, 0.35, False, id="small-waits"),
+        pytest.param(0.5, 0.45, True, id="small-claims-in-the-end"),
+        pytest.param(2.0, 0.15, True, id="large-claims-early"),
+        pytest.param(0.5, 2.0, True, id="long-a-member"),
     ],
 )
 def test_a_new_member_waits_for_larger_ones(
     own_cores: float, now: float, claims: bool
 ) -> None:
-    """Guards against the first starter owning all services, however small."""
+    """Guards against a small instance that owns all as it started first."""
     session = _make_session({"a": own_cores}, own_cores=own_cores)
     session.ownerless_since[SERVICE] = 0.0
     assert _claims.should_claim(session, SERVICE, now) is claims
--- a/chestnuttide/node/tests/test_commits.py
+++ b/chestnuttide/node/tests/test_commits.py
@@ -1,4 +1,4 @@
-"""Commits of an owner against the stand-in of the store."""
+"""Commits of an owner to a stand-in of the store."""
 
 import asyncio
 import collections.abc
@@ -21,7 +21,7 @@
         [_ownership.Ownership, cloud.Store], collections.abc.Awaitable[None]
     ],
 ) -> None:
-    """Run a scenario with an owner whose key is in the store."""
+    """Run a scenario with an owner whose key is stored."""
 
     async def main() -> None:
         store, metrics = cloud.Store(), _metrics.make_metrics()
@@ -43,19 +43,21 @@
             pool=_world.make_pool(2),
             metrics=metrics,
         )
-        rounds = asyncio.ensure_future(_commits.commit_loop(owner))
+        commit_task = asyncio.ensure_future(_commits.commit_loop(owner))
         try:
             await scenario(owner, store)
         finally:
             owner.deposed.set()
-            rounds.cancel()
-            await asyncio.gather(rounds, *owner.rounds, return_exceptions=True)
+            commit_task.cancel()
+            await asyncio.gather(
+                commit_task, *owner.commit_rounds, return_exceptions=True
+            )
             server.stop()
 
     asyncio.run(main())
 
 
-def _plan_two_steps(owner: _ownership.Ownership) -> workloads.Job:
+def _plan_two_tasks(owner: _ownership.Ownership) -> workloads.Job:
     job = _world.submit(owner.pool, _world.make_step(count=2))
     _world.start_all(owner.pool)
     _ownership.request_commit(owner, urgent=True)
@@ -68,21 +70,21 @@
             await asyncio.sleep(0.01)
 
 
-def test_a_jobs_end_waits_for_no_earlier_change() -> None:
-    """Guards against answers that wait for a lost answer of the store."""
+def test_a_jobs_end_does_not_wait_for_an_earlier_commit() -> None:
+    """Guards against jobs whose end is delayed by a lost store answer."""
 
     async def scenario(
         owner: _ownership.Ownership, store: cloud.Store
     ) -> None:
         store.lose_answers = 1
-        job = _plan_two_steps(owner)
+        job = _plan_two_tasks(owner)
         await asyncio.sleep(0.1)
         assert store.lose_answers == 0
         for worker in list(owner.pool.workers.values()):
             for run in list(worker.runs.values()):
                 _world.end_of(owner.pool, run, "done")
         _ownership.request_commit(owner, urgent=True)
-        # The lost answer is given up after 0.7 s.
+        # The commit with the lost answer times out after 0.7 s.
         await _until_shown(job, limit_s=0.4)
         record = store.keys[_keys.job(SERVICE, job.spec.id)].value
         assert workloads.decode_job(record).state == "complete"
@@ -90,18 +92,18 @@
     _run(scenario)
 
 
-def test_ends_are_acknowledged_only_once_the_job_is_stored() -> None:
-    """Guards against done tasks that run again after a takeover.
+def test_completions_are_acknowledged_only_once_the_job_is_stored() -> None:
+    """Guards against completed tasks that run again after a takeover.
 
-    A job ends while its earlier change is tried again, so the record of that
-    change is never written.
+    The job ends while the commit of an earlier change is being retried, so
+    that change is never written.
     """
 
     async def scenario(
         owner: _ownership.Ownership, store: cloud.Store
     ) -> None:
         store.refusal = 503
-        _plan_two_steps(owner)
+        _plan_two_tasks(owner)
         await asyncio.sleep(0.2)
         for worker in list(owner.pool.workers.values()):
             for run in list(worker.runs.values()):
@@ -122,26 +124,27 @@
     _run(scenario)
 
 
-def test_a_record_that_is_stored_late_is_removed() -> None:
-    """Guards against progress of ended jobs that stays in the store."""
+def test_a_progress_record_stored_late_is_removed() -> None:
+    """Guards against progress records of ended jobs left in the store."""
 
     async def scenario(
         owner: _ownership.Ownership, store: cloud.Store
     ) -> None:
-        job = _plan_two_steps(owner)
+        job = _plan_two_tasks(owner)
         batch = _commits.make_batch(owner, [job])
         job.shown_state = workloads.JobState.COMPLETE
         _commits.apply_batch(owner, batch, 99)
-        assert owner.removals == [_keys.progress(SERVICE, job.spec.id)]
+        assert owner.obsolete_keys == [_keys.progress(SERVICE, job.spec.id)]
 
     _run(scenario)
 
 
-def test_a_job_that_ends_early_does_not_hold_the_others_of_its_chunk() -> None:
+def test_a_job_that_ends_early_does_not_block_its_chunk() -> None:
     """Guards against live jobs that are never stored again.
 
-    Seed 4108 of the soak: the first job of a chunk ended between the choice
-    of the chunk and its transaction, and the others stood still for ever.
+    In seed 4108 of the soak, the first job of a chunk ended after the chunk
+    was formed and before its transaction, and the chunk's other jobs stayed
+    marked as being stored.
     """
 
     async def scenario(
@@ -150,16 +153,16 @@
         first = _world.submit(owner.pool, _world.make_step(), job_id="a" * 16)
         second = _world.submit(owner.pool, _world.make_step(), job_id="b" * 16)
         runs = _world.start_all(owner.pool)
-        round_ = asyncio.ensure_future(_commits.commit_all(owner))
-        # The chunk is chosen in the next iteration, its transaction made in
-        # the one after it.
+        commit_round = asyncio.ensure_future(_commits.commit_all(owner))
+        # The chunk is formed in the next iteration of the event loop, and its
+        # transaction in the one after that.
         await asyncio.sleep(0)
         await _end_before_the_transaction(owner, first, runs)
-        await round_
+        await commit_round
         async with asyncio.timeout(1.0):
             while _keys.progress(SERVICE, second.spec.id) not in store.keys:
                 await asyncio.sleep(0.01)
-        assert second.spec.id not in owner.storing
+        assert second.spec.id not in owner.jobs_in_commit
 
     _run(scenario)
 
@@ -169,7 +172,7 @@
     job: workloads.Job,
     runs: list[workloads.Run],
 ) -> None:
-    assert job.spec.id in owner.storing
+    assert job.spec.id in owner.jobs_in_commit
     run = next(each for each in runs if each.job is job)
     _world.end_of(owner.pool, run, "done")
     _ownership.request_commit(owner, urgent=True)
--- a/chestnuttide/node/tests/test_release.py
+++ b/chestnuttide/node/tests/test_release.py
@@ -1,4 +1,4 @@
-"""Release of an ownership through peers while the store is away."""
+"""Release of an ownership through peers while the store is unavailable."""
 
 import asyncio
 
@@ -12,8 +12,10 @@
 from chestnuttide.node import _session
 from chestnuttide.workloads.tests import _world
 
-NOT_CONNECTED = errors.PeerNotConnectedError(message="closed", remedy="wait")
-UNANSWERED = errors.MeshError(message="silent", remedy="wait")
+NOT_CONNECTED = errors.PeerNotConnectedError(
+    message="not connected", remedy="wait"
+)
+UNANSWERED = errors.MeshError(message="unanswered", remedy="wait")
 
 
 def _make_owner() -> _ownership.Ownership:
@@ -31,21 +33,23 @@
 @pytest.mark.parametrize(
     ("outcomes", "deposed"),
     [
-        pytest.param([False, False], False, id="no-peer-reaches-the-store"),
-        pytest.param([False, True], True, id="a-peer-has-released"),
-        pytest.param([NOT_CONNECTED, False], False, id="one-was-not-asked"),
-        pytest.param([UNANSWERED, False], True, id="one-may-still-release"),
+        pytest.param([False, False], False, id="no-peer-released"),
+        pytest.param([False, True], True, id="a-peer-released"),
+        pytest.param(
+            [NOT_CONNECTED, False], False, id="a-peer-was-not-connected"
+        ),
+        pytest.param([UNANSWERED, False], True, id="a-peer-did-not-answer"),
     ],
 )
-def test_an_owner_goes_on_unless_a_peer_may_release_it(
+def test_an_owner_continues_unless_a_peer_may_release_it(
     monkeypatch: pytest.MonkeyPatch,
     outcomes: list[bool | errors.MeshError],
     deposed: bool,
 ) -> None:
-    """Guards against an ownership that ends in an outage for all.
+    """Guards against lost ownerships while no instance reaches the store.
 
-    A connection that had just closed counted as an unanswered call, so all
-    runs of a service expired while the store was away.
+    A call over a connection that had just closed counted as unanswered. The
+    owner stopped, and all runs of its service expired during the outage.
     """
     by_peer = dict(zip(("a", "b"), outcomes, strict=True))
 
--- a/chestnuttide/node/tests/test_settings.py
+++ b/chestnuttide/node/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot be used, and what the error says."""
+"""Loading of settings, and errors for invalid ones."""
 
 import copy
 import json
@@ -25,8 +25,8 @@
     return str(path)
 
 
-def test_settings_with_comments(tmp_path: pathlib.Path) -> None:
-    """Guards against a template whose comments cannot be read."""
+def test_settings_may_have_comments(tmp_path: pathlib.Path) -> None:
+    """Guards against a settings template that fails to load."""
     text = "// the instance\n" + json.dumps(GOOD)
     settings = _settings.load_settings(_write(tmp_path, text))
     assert settings.mesh_ports == (3, 4)
@@ -36,29 +36,33 @@
 @pytest.mark.parametrize(
     ("change", "named"),
     [
-        pytest.param({"instanse": "x"}, "instance", id="nearest-name"),
+        pytest.param({"instanse": "x"}, "instance", id="misspelt-field"),
         pytest.param({"mesh_ports": [9, 3]}, "mesh_ports", id="port-range"),
         pytest.param({"mesh_ports": "x"}, "mesh_ports", id="wrong-type"),
         pytest.param({"log_level": "loud"}, "log_level", id="log-level"),
         pytest.param(
             {"store": {"address": "a:1", "min_lease_ms": 0}},
             "store.min_lease_ms",
-            id="nested-range",
+            id="nested-field-range",
+        ),
+        pytest.param(
+            {"bounds": {"grace_s": 0}},
+            "bounds.grace_s",
+            id="grace-period-range",
         ),
-        pytest.param({"bounds": {"grace_s": 0}}, "bounds.grace_s", id="grace"),
     ],
 )
-def test_unusable_settings(
+def test_invalid_settings_are_refused(
     change: dict[str, object], named: str, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against a daemon that starts with settings it misreads."""
+    """Guards against a daemon that starts with invalid settings."""
     text = json.dumps(copy.deepcopy(GOOD) | change)
     with pytest.raises(errors.SettingsError) as caught:
         _settings.load_settings(_write(tmp_path, text))
     assert named in str(caught.value)
 
 
-def test_a_missing_file(tmp_path: pathlib.Path) -> None:
-    """Guards against an error that does not name the variable."""
+def test_a_missing_file_names_the_variable(tmp_path: pathlib.Path) -> None:
+    """Guards against an error that does not tell where the path comes from."""
     with pytest.raises(errors.SettingsError, match="CHESTNUTTIDE_CONFIG"):
         _settings.load_settings(str(tmp_path / "none"))
--- a/chestnuttide/node/tests/test_submission.py
+++ b/chestnuttide/node/tests/test_submission.py
@@ -1,4 +1,4 @@
-"""Submissions while the store is silent."""
+"""Submissions while the store is unresponsive."""
 
 import asyncio
 import functools
@@ -29,10 +29,10 @@
 def test_a_submission_is_answered_in_time(
     stops_in_s: float, limit_s: float
 ) -> None:
-    """Guards against a connection that a planned stop closes unanswered.
+    """Guards against a shutdown that closes connections without a response.
 
-    Found by a hunt (mix --seed 645617155796 of gnomon-coop): a submission
-    that came 4.4 s after SIGTERM waited for the store until the end.
+    In a soak (mix --seed 645617155796 of gnomon-coop), a submission that
+    arrived 4.4 s after SIGTERM waited for the store until the process ended.
     """
 
     async def main() -> float:
@@ -59,10 +59,10 @@
         write = _messages.JobWrite(
             call_id=0, absent_keys=("k",), key="k", value=b""
         )
-        began = time.monotonic()
+        started_at = time.monotonic()
         outcome = await _submission.store_job(context, write, 2.0)
-        taken_s = time.monotonic() - began
-        # The transfer that was given up ends by its own timeout.
+        taken_s = time.monotonic() - started_at
+        # The abandoned transfer ends by its own timeout.
         await asyncio.sleep(STORE_TIMEOUT_S)
         server.stop()
         assert outcome == "unknown"
