--- a/chestnuttide/node/_daemon.py
+++ b/chestnuttide/node/_daemon.py
@@ -349,7 +349,8 @@
             lease_s=min(
                 _ownership.RUN_LEASE_S, bounds.worker_lease_max_ms / 1000
             ),
-            # The tolerance for early starts is left for clock differences.
+            # Occurrences do not start early; the tolerance is left for
+            # clock differences.
             early_s=0.0,
             stop_s=bounds.stop_ms / 1000,
         ),
--- a/chestnuttide/node/_lookups.py
+++ b/chestnuttide/node/_lookups.py
@@ -81,7 +81,7 @@
 def answer_state(
     context: _responses.ApiContext, message: _messages.StateRead
 ) -> _messages.StateReply:
-    """Return the state of a job that this instance may own."""
+    """Return a job's state if this instance owns its service."""
     owner = context.owned.get(message.service)
     owned = (
         owner is not None
@@ -186,7 +186,7 @@
 def answer_pending(
     context: _responses.ApiContext, message: _messages.PendingRead
 ) -> _messages.PendingReply:
-    """Return the length of a queue that this instance may own."""
+    """Return a queue's length if this instance owns its service."""
     owner = context.owned.get(message.service)
     owned = (
         owner is not None
--- a/chestnuttide/node/_responses.py
+++ b/chestnuttide/node/_responses.py
@@ -23,7 +23,7 @@
     owned : dict of str to Ownership
         Services that this instance owns.
     metrics : NodeMetrics
-        Counters.
+        Counters and histograms.
     pending : dict of (str, str) to (float, int)
         Time and value of the last known length of each queue, by service
         and queue.
