--- a/chestnuttide/node/_claims.py
+++ b/chestnuttide/node/_claims.py
@@ -11,8 +11,8 @@
 
 LOG = telemetry.make_logger("session")
 
-# Each rank waits this much longer than the one before it claims a service, so
-# that usually only one instance writes a claim.
+# Extra wait per rank before an instance claims a service, so that usually only
+# one instance writes a claim.
 CLAIM_STAGGER_S = 0.25
 
 # An instance that has just joined may not know larger ones that are starting
--- a/chestnuttide/node/_owner.py
+++ b/chestnuttide/node/_owner.py
@@ -19,7 +19,7 @@
 
 LOG = telemetry.make_logger("owner")
 
-# Period of the checks for due, stalled and misplaced runs.
+# Period of the checks for due occurrences, stalled runs and draining workers.
 SUPERVISION_PERIOD_S = 0.1
 
 TAKEOVER_RETRY_S = 0.1
