--- a/chestnuttide/node/_metrics.py
+++ b/chestnuttide/node/_metrics.py
@@ -25,12 +25,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class NodeMetrics:
-    """Metrics by name, in one registry.
+    """Metrics of a daemon in one registry.
 
     Attributes
     ----------
     registry : Registry
-        All of them, for the metrics page.
+        Registry that the metrics page renders.
     answers : Counter
         ``chestnuttide_answers_total{call,status}``.
     refusals : Counter
@@ -41,13 +41,14 @@
         ``chestnuttide_store_calls_total{kind,outcome}``.
     run_ends : Counter
         ``chestnuttide_run_ends_total{how}``.
-    orders : Counter
+    commands : Counter
         ``chestnuttide_orders_total{kind,outcome}``.
     start_wait_seconds : Histogram
         ``chestnuttide_start_wait_seconds{queue}``, from a job's arrival at
         its owner to its first confirmed start.
     job_seconds : Histogram
-        ``chestnuttide_job_seconds{queue,state}``, until the stored end.
+        ``chestnuttide_job_seconds{queue,state}``, from a job's arrival until
+        its end is stored.
     dropped_log_lines : Counter
         ``chestnuttide_dropped_log_lines_total``.
     """
@@ -58,14 +59,14 @@
     retries: aioprometheus.Counter
     store_calls: aioprometheus.Counter
     run_ends: aioprometheus.Counter
-    orders: aioprometheus.Counter
+    commands: aioprometheus.Counter
     start_wait_seconds: aioprometheus.Histogram
     job_seconds: aioprometheus.Histogram
     dropped_log_lines: aioprometheus.Counter
 
 
 def make_metrics() -> NodeMetrics:
-    """Return the metrics of a daemon in a registry of their own."""
+    """Return the metrics of a daemon in a new registry."""
     registry = collectors.Registry()
 
     def counter(name: str, doc: str) -> aioprometheus.Counter:
@@ -88,7 +89,7 @@
         retries=counter("retries", "Attempts made again, by reason."),
         store_calls=counter("store_calls", "Calls to the store."),
         run_ends=counter("run_ends", "Ends of runs, by how."),
-        orders=counter("orders", "Orders to workers, by outcome."),
+        commands=counter("orders", "Orders to workers, by outcome."),
         start_wait_seconds=histogram(
             "start_wait_seconds", "Seconds until a job's first start."
         ),
--- a/chestnuttide/node/tests/test_submission.py
+++ b/chestnuttide/node/tests/test_submission.py
@@ -1,4 +1,4 @@
-"""Submissions while the store is silent."""
+"""Submissions while the store is unresponsive."""
 
 import asyncio
 import functools
@@ -6,11 +6,11 @@
 
 import pytest
 
-from chestnuttide.node import _answers
 from chestnuttide.node import _clock
 from chestnuttide.node import _messages
 from chestnuttide.node import _metrics
 from chestnuttide.node import _peers
+from chestnuttide.node import _responses
 from chestnuttide.node import _session
 from chestnuttide.node import _submission
 from chestnuttide import platform
@@ -29,10 +29,10 @@
 def test_a_submission_is_answered_in_time(
     stops_in_s: float, limit_s: float
 ) -> None:
-    """Guards against a connection that a planned stop closes unanswered.
+    """Guards against a shutdown that closes connections without a response.
 
-    Found by a hunt (mix --seed 645617155796 of gnomon-coop): a submission
-    that came 4.4 s after SIGTERM waited for the store until the end.
+    In a soak (mix --seed 645617155796 of gnomon-coop), a submission that
+    arrived 4.4 s after SIGTERM waited for the store until the process ended.
     """
 
     async def main() -> float:
@@ -50,19 +50,19 @@
             ),
             peers=_peers.make_peers(instance="a", data_centre="d"),
         )
-        front = _answers.Front(
+        context = _responses.ApiContext(
             session=session,
             owned={},
             metrics=metrics,
-            answer_by=_clock.now() + stops_in_s,
+            response_deadline=_clock.now() + stops_in_s,
         )
         write = _messages.JobWrite(
             call_id=0, absent_keys=("k",), key="k", value=b""
         )
-        began = time.monotonic()
-        outcome = await _submission.store_job(front, write, 2.0)
-        taken_s = time.monotonic() - began
-        # The transfer that was given up ends by its own timeout.
+        started_at = time.monotonic()
+        outcome = await _submission.store_job(context, write, 2.0)
+        taken_s = time.monotonic() - started_at
+        # The abandoned transfer ends by its own timeout.
         await asyncio.sleep(STORE_TIMEOUT_S)
         server.stop()
         assert outcome == "unknown"
