--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized faults on real daemons, against stand-ins of the platform."""
+"""Fault-injection test of real daemons against stand-ins of the platform."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs seeds of the soak and prints one line for each."""
+"""Runs the soak with several seeds and prints one line for each."""
 
 import argparse
 import asyncio
@@ -18,12 +18,14 @@
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument(
-        "--first-seed", type=int, default=None, help="default: a fresh one"
+        "--first-seed", type=int, default=None, help="default: random"
     )
     parser.add_argument("--nodes", type=int, default=5)
     parser.add_argument("--for-s", type=float, default=15.0)
     parser.add_argument(
-        "--failed", action="store_true", help="the seeds that failed once"
+        "--failed",
+        action="store_true",
+        help="rerun the seeds that have failed",
     )
     options = parser.parse_args(arguments)
     first = options.first_seed
@@ -38,20 +40,20 @@
         folder.mkdir(parents=True, exist_ok=True)
         for old in folder.glob("*.log"):
             old.unlink()
-        began = time.monotonic()
+        started_at_s = time.monotonic()
         ledger = asyncio.run(
             _run.run_seed(
                 folder.resolve(),
                 seed,
                 nodes=options.nodes,
-                for_s=options.for_s,
+                duration_s=options.for_s,
             )
         )
         _run.write_ledger(folder, ledger)
         summary = _run.report(ledger)
         violations = summary.pop("violations")
         verdict = "failed" if violations else "passed"
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started_at_s
         print(f"seed {seed} {verdict} in {seconds:.0f} s: {summary}")
         for line in violations[:10]:
             print(f"    {line}")
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -1,4 +1,4 @@
-"""Promises that are checked from what callers and workers see."""
+"""Invariants checked against what callers and workers observe."""
 
 import collections
 import time
@@ -7,31 +7,31 @@
 
 from standins import cloud
 
-# A cancelled job's tasks start no more after this time.
-CANCEL_S = 3.0
+# Latest start of a cancelled job's task, after the cancel was acknowledged.
+CANCEL_LIMIT_S = 3.0
 
-# A job is known everywhere this long after its acknowledgement.
-VISIBLE_S = 3.0
+# Time after its acknowledgement at which every daemon must know a job.
+VISIBILITY_LIMIT_S = 3.0
 
 TERMINAL = ("complete", "failed", "canceled")
 
 
 @attrs.define(kw_only=True)
 class Job:
-    """A job as its caller sees it.
+    """A job from the view of its caller.
 
     Attributes
     ----------
     id : str
-        Its id.
+        Job id.
     body : dict of str to object
-        What was submitted.
+        Body of the submission.
     accepted_at, cancelled_at : float
         Monotonic times of the acknowledgements; 0 before.
     refused : bool
-        Whether each attempt was refused as not run.
+        Whether every attempt to submit it was refused.
     state : str
-        State that was shown last.
+        State last reported to the caller.
     """
 
     id: str
@@ -44,88 +44,94 @@
 
 @attrs.define(kw_only=True)
 class Ledger:
-    """All that callers and workers have seen.
+    """Everything that callers and workers have observed.
 
     Attributes
     ----------
     jobs : dict of str to Job
         Submitted jobs.
     workers : list of Worker
-        All lifetimes of workers.
-    done : dict of str to set of int
-        Runs of each task that ended as done.
-    noted : set of str
-        Tasks whose end as done was acknowledged to the worker.
+        The workers under test.
+    completed_runs : dict of str to set of int
+        Runs of each task that ended successfully.
+    acknowledged_tasks : set of str
+        Tasks whose successful completion was acknowledged to the worker.
     faults : list of str
-        What happened, for the report.
+        Injected faults, for the report.
     violations : list of str
-        Promises that were broken.
+        Violated invariants.
     """
 
     jobs: dict[str, Job] = attrs.field(factory=dict)
     workers: list[cloud.Worker] = attrs.field(factory=list)
-    done: dict[str, set[int]] = attrs.field(
+    completed_runs: dict[str, set[int]] = attrs.field(
         factory=lambda: collections.defaultdict(set)
     )
-    noted: set[str] = attrs.field(factory=set)
+    acknowledged_tasks: set[str] = attrs.field(factory=set)
     faults: list[str] = attrs.field(factory=list)
     violations: list[str] = attrs.field(factory=list)
 
 
-def watch_worker(ledger: Ledger, worker: cloud.Worker) -> None:
-    """Check each start of a worker."""
+def observe_worker(ledger: Ledger, worker: cloud.Worker) -> None:
+    """Check each task start on a worker."""
 
-    def on_start(order: dict[str, object]) -> None:
-        _check_start(ledger, worker, order)
+    def on_start(command: dict[str, object]) -> None:
+        _check_start(ledger, worker, command)
 
-    def on_end(task: str, run: int, how: str) -> None:
-        if how == "done":
-            ledger.done[task].add(run)
+    def on_completion(task: str, run: int, outcome: str) -> None:
+        if outcome == "done":
+            ledger.completed_runs[task].add(run)
 
-    def on_acknowledged(task: str, run: int, how: str) -> None:
-        if how == "done":
-            ledger.noted.add(task)
+    def on_acknowledged(task: str, run: int, outcome: str) -> None:
+        if outcome == "done":
+            ledger.acknowledged_tasks.add(task)
 
     worker.on_start = on_start
-    worker.on_end = on_end
+    worker.on_completion = on_completion
     worker.on_acknowledged = on_acknowledged
     ledger.workers.append(worker)
 
 
-def break_promise(ledger: Ledger, text: str) -> None:
-    """Note a promise that was broken."""
+def record_violation(ledger: Ledger, text: str) -> None:
+    """Record a violated invariant."""
     ledger.violations.append(f"{time.monotonic():.3f} {text}")
 
 
 def _check_start(
-    ledger: Ledger, worker: cloud.Worker, order: dict[str, object]
+    ledger: Ledger, worker: cloud.Worker, command: dict[str, object]
 ) -> None:
-    task = order["task"]
-    label = f"{task} run {order['run']} on {worker.id}"
+    task = command["task"]
+    label = f"{task} run {command['run']} on {worker.id}"
     for other in ledger.workers:
-        cloud.lapse(other)
+        cloud.end_due_runs(other)
         if any(key[0] == task for key in other.runs):
-            break_promise(ledger, f"two runs at once: {label}, {other.id}")
-    if task in ledger.noted:
-        break_promise(ledger, f"started after its noted end: {label}")
+            record_violation(ledger, f"two runs at once: {label}, {other.id}")
+    if task in ledger.acknowledged_tasks:
+        record_violation(
+            ledger, f"started after its acknowledged completion: {label}"
+        )
     job_id, _, step, _ = task.split(".")
     job = ledger.jobs.get(job_id)
-    if job is None or order["spec"] != job.body["spec"]:
-        break_promise(ledger, f"start that nobody asked for: {label}")
+    if job is None or command["spec"] != job.body["spec"]:
+        record_violation(ledger, f"start that nobody submitted: {label}")
         return
     if job.refused:
-        break_promise(ledger, f"start of a refused job: {label}")
-    # A start that a cut held back may arrive after a cancel; the bound above
-    # all starts of a cancelled job is checked below.
+        record_violation(ledger, f"start of a refused job: {label}")
+    # A partition may delay a start until after a cancel, so cancelled jobs
+    # are excluded here; CANCEL_LIMIT_S bounds their starts below.
     if job.state in ("complete", "failed"):
-        break_promise(ledger, f"start of a job shown {job.state}: {label}")
+        record_violation(ledger, f"start of a job shown {job.state}: {label}")
     since_s = time.monotonic() - job.cancelled_at
-    if job.cancelled_at and since_s > CANCEL_S:
-        break_promise(ledger, f"start {since_s:.1f} s after cancel: {label}")
+    if job.cancelled_at and since_s > CANCEL_LIMIT_S:
+        record_violation(
+            ledger, f"start {since_s:.1f} s after cancel: {label}"
+        )
     for earlier in job.body["steps"][int(step)].get("after", ()):
         for index in range(job.body["steps"][earlier]["count"]):
-            if not ledger.done[f"{job_id}.0.{earlier}.{index}"]:
-                break_promise(ledger, f"before its predecessor: {label}")
+            if not ledger.completed_runs[f"{job_id}.0.{earlier}.{index}"]:
+                record_violation(
+                    ledger, f"start before its predecessor ended: {label}"
+                )
                 return
     _check_capacity(ledger, worker, job, int(step), label)
 
@@ -143,20 +149,24 @@
         other = ledger.jobs[other_id]
         used += other.body["steps"][int(other_step)]["cpu"]
     if used > worker.capacity["cpu"]:
-        break_promise(ledger, f"over capacity ({used} millicores): {label}")
+        record_violation(ledger, f"over capacity ({used} millicores): {label}")
 
 
-def note_state(ledger: Ledger, job: Job, status: int, state: str) -> None:
-    """Check an answer about a job's state."""
+def update_state(ledger: Ledger, job: Job, status: int, state: str) -> None:
+    """Check a response about a job's state, and store the state."""
     now = time.monotonic()
-    if status == 410 and job.accepted_at and now - job.accepted_at > VISIBLE_S:
-        break_promise(ledger, f"accepted job is not known: {job.id}")
+    if (
+        status == 410
+        and job.accepted_at
+        and now - job.accepted_at > VISIBILITY_LIMIT_S
+    ):
+        record_violation(ledger, f"accepted job is not known: {job.id}")
     if status != 200:
         return
     if job.state in TERMINAL and state != job.state:
-        break_promise(ledger, f"{job.id} went from {job.state} to {state}")
+        record_violation(ledger, f"{job.id} went from {job.state} to {state}")
     if state == "failed":
-        break_promise(ledger, f"{job.id} is shown as failed without cause")
+        record_violation(ledger, f"{job.id} is shown as failed without cause")
     if state == "complete":
         _check_complete(ledger, job)
     job.state = state
@@ -166,6 +176,6 @@
     for number, step in enumerate(job.body["steps"]):
         for index in range(step["count"]):
             task = f"{job.id}.0.{number}.{index}"
-            if not ledger.done[task]:
-                break_promise(ledger, f"shown complete without {task}")
+            if not ledger.completed_runs[task]:
+                record_violation(ledger, f"shown complete without {task}")
                 return
--- a/soak/_clients.py
+++ b/soak/_clients.py
@@ -1,4 +1,4 @@
-"""Callers that submit, ask for and cancel jobs."""
+"""Callers that submit, query and cancel jobs."""
 
 import asyncio
 import json
@@ -11,48 +11,48 @@
 from soak import _checks
 from standins import node_cell
 
-# Callers wait this long for an answer, and say so.
+# Deadline that callers send with each request.
 DEADLINE_S = 3.0
-# Limit of a call, beyond which it counts as left without an answer.
-ANSWER_LIMIT_S = 8.0
+# Client timeout, after which a request counts as unanswered.
+RESPONSE_TIMEOUT_S = 8.0
 
 RETRY_PAUSE_S = 0.3
 POLL_PAUSE_S = 0.4
 
 CANCEL_SHARE = 0.15
 MAX_STEPS = 3
-MAX_COUNT = 5
-CPU_CHOICES = (500, 1500, 4000)
+MAX_TASKS_PER_STEP = 5
+CPU_MILLIS_CHOICES = (500, 1500, 4000)
 
 
 @attrs.define(kw_only=True)
 class Callers:
-    """What the callers of a run share.
+    """State shared by the callers of a run.
 
     Attributes
     ----------
     ledger : Ledger
-        What they have seen.
+        Record of what callers and workers observe.
     nodes : list of Node
-        The daemons.
+        Daemons that receive the requests.
     rng : Random
-        Source of all choices.
-    calm : asyncio.Event
-        Set once no fault comes any more.
+        Source of all random choices.
+    faults_ended : asyncio.Event
+        Set once fault injection is over and responses must be on time.
     """
 
     ledger: _checks.Ledger
     nodes: list[node_cell.Node]
     rng: random.Random
-    calm: asyncio.Event = attrs.field(factory=asyncio.Event)
+    faults_ended: asyncio.Event = attrs.field(factory=asyncio.Event)
 
 
 async def _call(
     callers: Callers, job_id: str, *, method: str, body: bytes | None = None
 ) -> tuple[int, dict[str, object]]:
-    """Call a random daemon; return 599 if there was no whole answer."""
+    """Call a random daemon; return 599 without a complete response."""
     node = callers.rng.choice(callers.nodes)
-    began = time.monotonic()
+    started_at_s = time.monotonic()
     try:
         response = await httpclient.AsyncHTTPClient().fetch(
             httpclient.HTTPRequest(
@@ -63,16 +63,16 @@
                     "Host": node_cell.HOST,
                     "Deadline-Ms": str(int(DEADLINE_S * 1000)),
                 },
-                request_timeout=ANSWER_LIMIT_S,
+                request_timeout=RESPONSE_TIMEOUT_S,
                 allow_nonstandard_methods=True,
             ),
             raise_error=False,
         )
     except (OSError, httpclient.HTTPError):
         return 599, {}
-    waited_s = time.monotonic() - began
-    if callers.calm.is_set() and waited_s > DEADLINE_S:
-        _checks.break_promise(
+    waited_s = time.monotonic() - started_at_s
+    if callers.faults_ended.is_set() and waited_s > DEADLINE_S:
+        _checks.record_violation(
             callers.ledger,
             f"{method} {job_id} at {node.name} took {waited_s:.1f} s",
         )
@@ -86,8 +86,8 @@
     for number in range(rng.randint(1, MAX_STEPS)):
         steps.append(
             {
-                "count": rng.randint(1, MAX_COUNT),
-                "cpu": rng.choice(CPU_CHOICES),
+                "count": rng.randint(1, MAX_TASKS_PER_STEP),
+                "cpu": rng.choice(CPU_MILLIS_CHOICES),
                 "memMb": 50,
                 "estRuntimeMs": 300,
                 "after": [number - 1] if number else [],
@@ -97,36 +97,37 @@
 
 
 async def run_job(callers: Callers, job_id: str) -> None:
-    """Submit a job, follow it to its end, and cancel some."""
+    """Submit a job and poll it until it ends; cancel a share of the jobs."""
     rng, ledger = callers.rng, callers.ledger
     job = _checks.Job(id=job_id, body=_make_body(rng, job_id))
     ledger.jobs[job_id] = job
     if not await _submit(callers, job):
         return
-    cancels = rng.random() < CANCEL_SHARE
+    will_cancel = rng.random() < CANCEL_SHARE
     while job.state not in _checks.TERMINAL:
         await asyncio.sleep(POLL_PAUSE_S)
-        if cancels and not job.cancelled_at:
+        if will_cancel and not job.cancelled_at:
             status, _ = await _call(callers, job_id, method="DELETE")
             if status == 200:
                 job.cancelled_at = time.monotonic()
             continue
         status, document = await _call(callers, job_id, method="GET")
-        _checks.note_state(ledger, job, status, document.get("state", ""))
+        _checks.update_state(ledger, job, status, document.get("state", ""))
 
 
 async def _submit(callers: Callers, job: _checks.Job) -> bool:
     body = json.dumps(job.body).encode()
-    refusals_only = True
+    all_refused = True
     while True:
         status, _ = await _call(callers, job.id, method="POST", body=body)
         if status == 200:
             job.accepted_at = time.monotonic()
             return True
         if status not in (429, 503, 404):
-            refusals_only = False
-        elif refusals_only and callers.rng.random() < 0.3:
-            # The caller gives up; what was refused must never run.
+            all_refused = False
+        elif all_refused and callers.rng.random() < 0.3:
+            # The caller gives up. A job whose every attempt was refused must
+            # never run.
             job.refused = True
             return False
         await asyncio.sleep(RETRY_PAUSE_S)
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or half-cuts connections."""
+"""Loopback TCP proxy that delays, blocks or resets connections."""
 
 import asyncio
 import contextlib
@@ -18,19 +18,19 @@
     target : str
         ``ip:port`` of the server.
     delay_s : float
-        Time by which each chunk is held back.
+        Delay of each chunk.
     silent : bool
-        Whether nothing passes in either direction; it passes afterwards.
+        Whether data is held back in both directions until the fault ends.
     deaf : bool
-        Whether answers are held back while calls still arrive.
+        Whether only responses are held back; requests still pass.
     refuse : bool
         Whether new connections are reset.
     connections : set of StreamWriter
-        Open ends, for resets.
+        Writers of both sides of the open connections.
     relays : set of Task
-        Relays under way.
-    changed : asyncio.Event
-        Set and replaced when a fault ends.
+        Tasks that relay the open connections.
+    faults_cleared : asyncio.Event
+        Set and replaced when the faults end.
     """
 
     target: str
@@ -40,7 +40,7 @@
     refuse: bool = False
     connections: set[asyncio.StreamWriter] = attrs.field(factory=set)
     relays: set[asyncio.Task[None]] = attrs.field(factory=set)
-    changed: asyncio.Event = attrs.field(factory=asyncio.Event)
+    faults_cleared: asyncio.Event = attrs.field(factory=asyncio.Event)
 
 
 async def serve(proxy: Proxy) -> tuple[str, asyncio.Server]:
@@ -57,15 +57,17 @@
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}", server
 
 
-def heal(proxy: Proxy) -> None:
-    """End all faults; what was held back passes now."""
+def clear_faults(proxy: Proxy) -> None:
+    """End all faults and let held data pass."""
     proxy.delay_s = 0.0
     proxy.silent = proxy.deaf = proxy.refuse = False
-    proxy.changed.set()
-    proxy.changed = asyncio.Event()
+    proxy.faults_cleared.set()
+    proxy.faults_cleared = asyncio.Event()
 
 
-def reset(proxy: Proxy, rng: random.Random, share: float = 1.0) -> None:
+def reset_connections(
+    proxy: Proxy, rng: random.Random, share: float = 1.0
+) -> None:
     """Reset a share of the open connections."""
     for writer in list(proxy.connections):
         if rng.random() < share:
@@ -73,7 +75,7 @@
 
 
 async def close(proxy: Proxy) -> None:
-    """End all relays."""
+    """Cancel all relays."""
     relays = list(proxy.relays)
     for task in relays:
         task.cancel()
@@ -94,37 +96,37 @@
     except OSError:
         writer.transport.abort()
         return
-    ends = {writer, upstream}
-    proxy.connections |= ends
+    writers = {writer, upstream}
+    proxy.connections |= writers
     try:
         await asyncio.gather(
-            _pump(proxy, reader, upstream, answers=False),
-            _pump(proxy, upstream_reader, writer, answers=True),
+            _forward(proxy, reader, upstream, from_server=False),
+            _forward(proxy, upstream_reader, writer, from_server=True),
         )
     finally:
-        proxy.connections -= ends
-        for end in ends:
-            end.transport.abort()
+        proxy.connections -= writers
+        for open_writer in writers:
+            open_writer.transport.abort()
 
 
-async def _pump(
+async def _forward(
     proxy: Proxy,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     *,
-    answers: bool,
+    from_server: bool,
 ) -> None:
     with contextlib.suppress(OSError):
         while chunk := await reader.read(CHUNK_BYTES):
             if proxy.delay_s:
                 await asyncio.sleep(proxy.delay_s)
-            while proxy.silent or (answers and proxy.deaf):
-                await proxy.changed.wait()
+            while proxy.silent or (from_server and proxy.deaf):
+                await proxy.faults_cleared.wait()
             writer.write(chunk)
             await writer.drain()
-    if answers or writer.transport.is_closing():
+    if from_server or writer.transport.is_closing():
         writer.close()
     else:
-        # A caller that closes does not undo what it has sent.
+        # Requests sent before the client closed still reach the server.
         with contextlib.suppress(OSError, RuntimeError):
             writer.write_eof()
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a cell, its callers, the faults and the verdict."""
+"""One run of the soak: starts a cell, injects faults, checks invariants."""
 
 import asyncio
 import collections.abc
@@ -21,39 +21,39 @@
 WORKER_CPU = 8000
 JOBS_PER_S = 4.0
 
-# Time after the last fault in which all accepted jobs have to end.
-FINISH_S = 40.0
+# Time after the last fault within which all accepted jobs must end.
+FINISH_LIMIT_S = 40.0
 
-# A daemon is in touch once no fault has come for the first time, and has a
-# configuration in force within the second.
-CONTACT_S = 3.0
-CONFIG_S = 2.0
+# After the last fault a daemon must reconnect within the first limit, and
+# apply the newest configuration within the second after that.
+RECONNECT_LIMIT_S = 3.0
+CONFIG_LIMIT_S = 2.0
 
-# Speeds of the workers' clocks; the pages allow 2% slow.
+# Rates of the workers' clocks, which may run up to 2% slow.
 CLOCK_RATES = (1.0, 0.98, 0.99, 1.0)
 
 
 async def run_seed(
-    folder: pathlib.Path, seed: int, *, nodes: int, for_s: float
+    folder: pathlib.Path, seed: int, *, nodes: int, duration_s: float
 ) -> _checks.Ledger:
-    """Run one seed and return what was seen.
+    """Run one seed and return the observations.
 
     Parameters
     ----------
     folder : Path
-        Takes settings and logs.
+        Directory of settings and logs.
     seed : int
-        Decides all jobs and faults.
+        Seed of the random jobs and faults.
     nodes : int
         Number of daemons.
-    for_s : float
-        Seconds for which faults come.
+    duration_s : float
+        Seconds during which faults are injected.
     """
     rng = random.Random(seed)
-    async with _run_world(folder, nodes=nodes) as world:
+    async with _run_testbed(folder, nodes=nodes) as testbed:
         callers = _clients.Callers(
-            ledger=world.ledger,
-            nodes=world.cell.nodes,
+            ledger=testbed.ledger,
+            nodes=testbed.cell.nodes,
             rng=random.Random(rng.random()),
         )
         stop = asyncio.Event()
@@ -61,17 +61,17 @@
         arrivals = asyncio.ensure_future(
             _submit_jobs(callers, jobs, stop, random.Random(rng.random()))
         )
-        await _faults.inject(world, rng, for_s=for_s)
+        await _faults.inject(testbed, rng, duration_s=duration_s)
         stop.set()
         await arrivals
-        await _settle(world, callers, jobs)
-    return world.ledger
+        await _finish_jobs(testbed, callers, jobs)
+    return testbed.ledger
 
 
 @contextlib.asynccontextmanager
-async def _run_world(
+async def _run_testbed(
     folder: pathlib.Path, *, nodes: int
-) -> collections.abc.AsyncIterator[_faults.World]:
+) -> collections.abc.AsyncIterator[_faults.Testbed]:
     ledger = _checks.Ledger()
     closers: list[collections.abc.Callable[[], None]] = []
     store, advisor = cloud.Store(), cloud.Advisor()
@@ -99,7 +99,7 @@
     advisor_proxy = await serve(cloud.answer_advice, advisor)
     advisor_address = await listen(advisor_proxy)
     cell = node_cell.Cell(store=store, advisor=advisor, workers=workers)
-    world = _faults.World(
+    testbed = _faults.Testbed(
         cell=cell,
         folder=folder,
         ledger=ledger,
@@ -108,12 +108,12 @@
         advisor_proxy=advisor_proxy,
     )
     for worker in workers:
-        _checks.watch_worker(ledger, worker)
+        _checks.observe_worker(ledger, worker)
         proxy = await serve(cloud.answer_worker, worker)
-        world.worker_proxies.append(proxy)
+        testbed.worker_proxies.append(proxy)
         address = await listen(proxy)
         cell.worker_addresses.append(address)
-        entry = cloud.write_entry(worker, address)
+        entry = cloud.encode_entry(worker, address)
         cloud.put(store, f"servers/{worker.id}", entry)
     cloud.put(store, "op/config", node_cell.make_config(1))
     ports = harness.make_harness(folder)
@@ -121,7 +121,7 @@
         for number in range(nodes):
             name = f"n{number}"
             proxy = _proxy.Proxy(target=store_proxy.target)
-            world.store_proxies[name] = proxy
+            testbed.store_proxies[name] = proxy
             cell.nodes.append(
                 node_cell.start_node(
                     folder,
@@ -133,14 +133,14 @@
             )
         for node in cell.nodes:
             await node_cell.until_ready(node)
-        yield world
+        yield testbed
     finally:
         for node in cell.nodes:
             node.process.kill()
             node.process.wait()
         for proxy in [
-            *world.store_proxies.values(),
-            *world.worker_proxies,
+            *testbed.store_proxies.values(),
+            *testbed.worker_proxies,
             advisor_proxy,
         ]:
             await _proxy.close(proxy)
@@ -160,52 +160,52 @@
         jobs.add(asyncio.ensure_future(_clients.run_job(callers, job_id)))
 
 
-async def _settle(
-    world: _faults.World,
+async def _finish_jobs(
+    testbed: _faults.Testbed,
     callers: _clients.Callers,
     jobs: set[asyncio.Task[None]],
 ) -> None:
-    """Let all jobs end without faults, and check what must hold then."""
-    ledger = world.ledger
-    for node in world.cell.nodes:
+    """Wait for all jobs without faults, then check the final state."""
+    ledger = testbed.ledger
+    for node in testbed.cell.nodes:
         await node_cell.until_ready(node)
-    await asyncio.sleep(CONTACT_S + CONFIG_S)
-    await _check_config(world)
-    callers.calm.set()
-    began = time.monotonic()
-    done, left = await asyncio.wait(jobs, timeout=FINISH_S)
+    await asyncio.sleep(RECONNECT_LIMIT_S + CONFIG_LIMIT_S)
+    await _check_config(testbed)
+    callers.faults_ended.set()
+    started_at_s = time.monotonic()
+    done, left = await asyncio.wait(jobs, timeout=FINISH_LIMIT_S)
     for task in done:
         if task.exception() is not None:
-            _checks.break_promise(ledger, f"caller: {task.exception()!r}")
+            _checks.record_violation(ledger, f"caller: {task.exception()!r}")
     for task in left:
         task.cancel()
-    waited_s = time.monotonic() - began
+    waited_s = time.monotonic() - started_at_s
     for job in ledger.jobs.values():
         if job.accepted_at and job.state not in _checks.TERMINAL:
-            _checks.break_promise(
+            _checks.record_violation(
                 ledger,
                 f"{job.id} is {job.state or 'unknown'} after {waited_s:.0f} s",
             )
         if not job.accepted_at and not job.refused:
-            _checks.break_promise(ledger, f"{job.id} was never answered")
-    for worker in world.cell.workers:
+            _checks.record_violation(ledger, f"{job.id} never got a response")
+    for worker in testbed.cell.workers:
         for task, run in worker.runs:
             job = ledger.jobs[task.split(".")[0]]
             if job.state in _checks.TERMINAL:
-                _checks.break_promise(
-                    ledger, f"{task} run {run} goes on: job is {job.state}"
+                _checks.record_violation(
+                    ledger, f"{task} run {run} still runs: job is {job.state}"
                 )
 
 
-async def _check_config(world: _faults.World) -> None:
-    """Check that each daemon has the newest configuration in force."""
-    for node in world.cell.nodes:
-        url = f"http://127.0.0.1:{node.front}/v{world.version}/"
+async def _check_config(testbed: _faults.Testbed) -> None:
+    """Check that every daemon has applied the newest configuration."""
+    for node in testbed.cell.nodes:
+        url = f"http://127.0.0.1:{node.caller_port}/v{testbed.version}/"
         status = await node_cell.call(url)
         if status != 200:
-            _checks.break_promise(
-                world.ledger,
-                f"{node.name} answers {status} for version {world.version}",
+            _checks.record_violation(
+                testbed.ledger,
+                f"{node.name} answers {status} for version {testbed.version}",
             )
 
 
@@ -223,6 +223,6 @@
 
 
 def write_ledger(folder: pathlib.Path, ledger: _checks.Ledger) -> None:
-    """Keep faults and broken promises beside the daemons' logs."""
+    """Write faults and violations beside the daemons' logs."""
     text = json.dumps({"faults": ledger.faults, **report(ledger)}, indent=1)
     (folder / "ledger.json").write_text(text, encoding="utf-8")
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and checks that can fail."""
+"""A short seeded run of the soak, and tests of its checks."""
 
 import asyncio
 import pathlib
@@ -9,16 +9,18 @@
 from soak import _run
 from standins import cloud
 
-# Played in CI; `soak/_seeds.py` has all seeds that ever failed.
+# Run in CI; `soak/_seeds.py` lists all seeds that have failed.
 SEEDS = (100,)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_through_faults(
+def test_invariants_hold_through_faults(
     seed: int, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against promises that break when faults overlap."""
-    ledger = asyncio.run(_run.run_seed(tmp_path, seed, nodes=4, for_s=6.0))
+    """Guards against invariants that overlapping faults violate."""
+    ledger = asyncio.run(
+        _run.run_seed(tmp_path, seed, nodes=4, duration_s=6.0)
+    )
     assert ledger.faults
     assert ledger.violations == []
 
@@ -30,13 +32,13 @@
             id=f"i-{number}",
             service="s",
             capacity={"cpu": 1000},
-            lease_until=float("inf"),
+            lease_expires_s=float("inf"),
             run_s=1000.0,
         )
         for number in range(2)
     ]
     for worker in workers:
-        _checks.watch_worker(ledger, worker)
+        _checks.observe_worker(ledger, worker)
     ledger.jobs["a"] = _checks.Job(
         id="a",
         body={
@@ -50,49 +52,54 @@
     return ledger, workers
 
 
-def _order(task: str, *, run: int = 1, spec: str = "s") -> dict[str, object]:
+def _command(task: str, *, run: int = 1, spec: str = "s") -> dict[str, object]:
     return {"task": task, "run": run, "spec": spec}
 
 
 @pytest.mark.parametrize(
-    ("prepare", "order", "found"),
+    ("prepare", "command", "found"),
     [
-        pytest.param({}, _order("a.0.0.0"), "", id="allowed"),
-        pytest.param({}, _order("b.0.0.0"), "nobody", id="unknown-job"),
+        pytest.param({}, _command("a.0.0.0"), "", id="allowed"),
+        pytest.param({}, _command("b.0.0.0"), "nobody", id="unknown-job"),
         pytest.param(
-            {}, _order("a.0.0.0", spec="x"), "nobody", id="other-payload"
+            {}, _command("a.0.0.0", spec="x"), "nobody", id="other-payload"
         ),
-        pytest.param({}, _order("a.0.1.0"), "predecessor", id="too-early"),
+        pytest.param({}, _command("a.0.1.0"), "predecessor", id="too-early"),
         pytest.param(
-            {"refused": True}, _order("a.0.0.0"), "refused", id="refused"
+            {"refused": True}, _command("a.0.0.0"), "refused", id="refused"
         ),
         pytest.param(
-            {"state": "complete"}, _order("a.0.0.0"), "shown", id="ended"
+            {"state": "complete"}, _command("a.0.0.0"), "shown", id="ended"
         ),
         pytest.param(
-            {"cancelled_at": 1.0}, _order("a.0.0.0"), "cancel", id="cancelled"
+            {"cancelled_at": 1.0},
+            _command("a.0.0.0"),
+            "cancel",
+            id="cancelled",
         ),
     ],
 )
-def test_a_forbidden_start_is_found(
-    prepare: dict[str, object], order: dict[str, object], found: str
+def test_forbidden_starts_are_reported(
+    prepare: dict[str, object], command: dict[str, object], found: str
 ) -> None:
-    """Guards against checks of the soak that cannot fail."""
+    """Guards against soak checks that cannot fail."""
     ledger, workers = _make_ledger()
     for name, value in prepare.items():
         setattr(ledger.jobs["a"], name, value)
-    workers[0].on_start(order)
+    workers[0].on_start(command)
     if found:
         assert found in ledger.violations[0]
     else:
         assert ledger.violations == []
 
 
-def test_doubled_runs_and_capacity_are_found() -> None:
-    """Guards against checks of the soak that cannot fail."""
+def test_double_runs_and_excess_use_are_reported() -> None:
+    """Guards against soak checks that cannot fail."""
     ledger, workers = _make_ledger()
-    workers[0].runs[("a.0.0.0", 1)] = cloud.Run(begun=0.0, ends=float("inf"))
-    workers[1].on_start(_order("a.0.0.0", run=2))
+    workers[0].runs[("a.0.0.0", 1)] = cloud.Run(
+        started_at_s=0.0, due_at_s=float("inf")
+    )
+    workers[1].on_start(_command("a.0.0.0", run=2))
     assert "two runs at once" in ledger.violations[0]
-    workers[0].on_start(_order("a.0.0.1"))
+    workers[0].on_start(_command("a.0.0.1"))
     assert "over capacity" in ledger.violations[-1]
--- a/standins/cloud/__init__.py
+++ b/standins/cloud/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' platform: store, workers and advisor."""
+"""Stand-ins for the platform's store, workers and advisor."""
 
 from standins.cloud import _advisor
 from standins.cloud import _http
@@ -12,11 +12,11 @@
 answer_advice = _advisor.answer_advice
 answer_store = _store.answer_store
 answer_worker = _worker.answer_worker
-end_leases = _store.end_leases
-lapse = _worker.lapse
+encode_entry = _worker.encode_entry
+end_due_runs = _worker.end_due_runs
+expire_leases = _store.expire_leases
 put = _store.put
 serve = _http.serve
-write_entry = _worker.write_entry
 
 __all__ = [
     "Advisor",
@@ -26,9 +26,9 @@
     "answer_advice",
     "answer_store",
     "answer_worker",
-    "end_leases",
-    "lapse",
+    "encode_entry",
+    "end_due_runs",
+    "expire_leases",
     "put",
     "serve",
-    "write_entry",
 ]
--- a/standins/cloud/_advisor.py
+++ b/standins/cloud/_advisor.py
@@ -1,4 +1,4 @@
-"""Stand-in of the policy advisor."""
+"""Stand-in for the policy advisor."""
 
 import attrs
 from tornado import httputil
@@ -8,14 +8,14 @@
 
 @attrs.define(kw_only=True)
 class Advisor:
-    """An advisor.
+    """State of the advisor.
 
     Attributes
     ----------
     refused : set of str
-        Workers that may run nothing.
+        Ids of workers for which no ticket is issued.
     calls : int
-        Calls so far.
+        Number of queries so far.
     """
 
     refused: set[str] = attrs.field(factory=set)
--- a/standins/cloud/_http.py
+++ b/standins/cloud/_http.py
@@ -1,4 +1,4 @@
-"""Serving of a stand-in over HTTP with JSON bodies."""
+"""HTTP server with JSON bodies for the stand-ins."""
 
 import asyncio
 import collections.abc
@@ -9,7 +9,7 @@
 from tornado import httputil
 from tornado import netutil
 
-# A status and a body; None leaves the request without an answer.
+# A status and a body; None leaves the request unanswered.
 Answer: typing.TypeAlias = tuple[int, dict[str, object]] | None
 Handler: typing.TypeAlias = collections.abc.Callable[
     [httputil.HTTPServerRequest, dict[str, object]],
--- a/standins/cloud/_store.py
+++ b/standins/cloud/_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's key-value store."""
+"""Stand-in for the platform's key-value store."""
 
 import asyncio
 import base64
@@ -12,16 +12,16 @@
 
 @attrs.define(kw_only=True)
 class Key:
-    """A key.
+    """A key of the store.
 
     Attributes
     ----------
     value : bytes
-        Its content.
+        Value of the key.
     revision, created : int
-        Revisions of the last change and of the creation.
+        Revisions of its last change and of its creation.
     lease : int
-        The lease with which it ends; 0 if there is none.
+        Lease that it is attached to; 0 for none.
     """
 
     value: bytes
@@ -32,26 +32,27 @@
 
 @attrs.define(kw_only=True)
 class Store:
-    """All of the store.
+    """State of the store.
 
     Attributes
     ----------
     revision : int
         Revision of the last change.
     keys : dict of str to Key
-        Present keys.
+        The present keys.
     history : list of (int, str)
         Revision and key of each change.
-    oldest : int
-        Changes up to this revision are forgotten.
+    compacted_revision : int
+        Revision up to which the history is compacted.
     leases : dict of int to (float, float)
-        End and time to live of each lease, in seconds.
+        Expiry and time to live of each lease, in seconds.
     refusal : int
-        Status with which all calls are refused; 0 for none, -1 for silence.
+        Status returned for every request; 0 for normal service, -1 to leave
+        requests unanswered.
     lose_answers : int
-        Transactions that are still to be done without an answer.
-    late_s : float
-        Time after which the transactions whose answers are lost take effect.
+        Number of next transactions to apply without a response.
+    commit_delay_s : float
+        Delay before transactions without a response take effect.
     changed : asyncio.Event
         Set and replaced at each change.
     """
@@ -59,44 +60,44 @@
     revision: int = 1
     keys: dict[str, Key] = attrs.field(factory=dict)
     history: list[tuple[int, str]] = attrs.field(factory=list)
-    oldest: int = 0
+    compacted_revision: int = 0
     leases: dict[int, tuple[float, float]] = attrs.field(factory=dict)
     refusal: int = 0
     lose_answers: int = 0
-    late_s: float = 0.0
+    commit_delay_s: float = 0.0
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
 
 def put(store: Store, key: str, value: bytes, *, lease: int = 0) -> None:
-    """Write a key as the operator or a worker does."""
+    """Write a key, as the operator and the workers do."""
     store.revision += 1
     _write(store, key, value, lease)
-    _wake(store)
+    _notify_watches(store)
 
 
-def end_leases(store: Store) -> None:
-    """Remove the keys of leases that have run out."""
+def expire_leases(store: Store) -> None:
+    """Remove expired leases and the keys attached to them."""
     now = time.monotonic()
-    for lease, (until, _) in list(store.leases.items()):
-        if until < now:
-            _end_lease(store, lease)
+    for lease, (expires_s, _) in list(store.leases.items()):
+        if expires_s < now:
+            _remove_lease(store, lease)
 
 
-def _end_lease(store: Store, lease: int) -> None:
+def _remove_lease(store: Store, lease: int) -> None:
     del store.leases[lease]
     keys = [key for key, item in store.keys.items() if item.lease == lease]
     store.revision += 1
     for key in keys:
         _remove(store, key)
-    _wake(store)
+    _notify_watches(store)
 
 
 def _write(store: Store, key: str, value: bytes, lease: int) -> None:
-    former = store.keys.get(key)
+    previous = store.keys.get(key)
     store.keys[key] = Key(
         value=value,
         revision=store.revision,
-        created=former.created if former else store.revision,
+        created=previous.created if previous else store.revision,
         lease=lease,
     )
     store.history.append((store.revision, key))
@@ -107,12 +108,14 @@
         store.history.append((store.revision, key))
 
 
-def _wake(store: Store) -> None:
+def _notify_watches(store: Store) -> None:
     store.changed.set()
     store.changed = asyncio.Event()
 
 
-def _show(store: Store, key: str, revision: int = 0) -> dict[str, object]:
+def _encode_key(
+    store: Store, key: str, revision: int = 0
+) -> dict[str, object]:
     item = store.keys.get(key)
     if item is None:
         return {"key": key, "rev": revision, "deleted": True}
@@ -130,12 +133,12 @@
     request: httputil.HTTPServerRequest,
     body: dict[str, object],
 ) -> _http.Answer:
-    """Answer a call."""
+    """Answer a request to the store."""
     if store.refusal < 0:
         return None
     if store.refusal:
         return store.refusal, {}
-    end_leases(store)
+    expire_leases(store)
     query = {
         name: values[0].decode() for name, values in request.arguments.items()
     }
@@ -144,12 +147,12 @@
     if name == "kv-key":
         if query["key"] not in store.keys:
             return 404, {}
-        shown = _show(store, query["key"])
-        return 200, {**shown, "storeRevision": store.revision}
+        encoded = _encode_key(store, query["key"])
+        return 200, {**encoded, "storeRevision": store.revision}
     if name == "kv-range":
         return 200, {
             "items": [
-                _show(store, key)
+                _encode_key(store, key)
                 for key in sorted(store.keys)
                 if key.startswith(query["prefix"])
             ],
@@ -161,7 +164,7 @@
     if name == "kv-txn":
         if store.lose_answers:
             store.lose_answers -= 1
-            await asyncio.sleep(store.late_s)
+            await asyncio.sleep(store.commit_delay_s)
             _transact(store, body)
             return None
         return _transact(store, body)
@@ -186,24 +189,24 @@
         ttl_s = store.leases[lease][1]
         store.leases[lease] = (now + ttl_s, ttl_s)
     else:
-        _end_lease(store, lease)
+        _remove_lease(store, lease)
     return 200, {}
 
 
 async def _watch(store: Store, query: dict[str, str]) -> _http.Answer:
     after = int(query["after"])
-    until = time.monotonic() + int(query["waitMs"]) / 1000
+    deadline_s = time.monotonic() + int(query["waitMs"]) / 1000
     while True:
-        if after < store.oldest:
+        if after < store.compacted_revision:
             return 410, {}
         newest = {
             key: revision
             for revision, key in store.history
             if revision > after and key.startswith(query["prefix"])
         }
-        if newest or time.monotonic() >= until:
+        if newest or time.monotonic() >= deadline_s:
             events = [
-                _show(store, key, revision)
+                _encode_key(store, key, revision)
                 for key, revision in sorted(
                     newest.items(), key=lambda pair: pair[1]
                 )
@@ -213,7 +216,7 @@
             async with asyncio.timeout(0.1):
                 await store.changed.wait()
         except TimeoutError:
-            end_leases(store)
+            expire_leases(store)
 
 
 def _transact(store: Store, body: dict[str, object]) -> _http.Answer:
@@ -221,7 +224,7 @@
         item = store.keys.get(row["key"])
         if (item.revision if item else 0) != row["rev"]:
             items = [
-                _show(store, each["key"])
+                _encode_key(store, each["key"])
                 for each in body["expect"]
                 if each["key"] in store.keys
             ]
@@ -235,5 +238,5 @@
         _write(store, row["key"], value, row.get("lease", 0))
     for key in body["remove"]:
         _remove(store, key)
-    _wake(store)
+    _notify_watches(store)
     return 200, {"rev": store.revision}
--- a/standins/cloud/_worker.py
+++ b/standins/cloud/_worker.py
@@ -1,4 +1,4 @@
-"""Stand-in of a worker that runs tasks under leases and checks fences."""
+"""Stand-in for a worker that enforces leases and fencing tokens."""
 
 import asyncio
 import collections.abc
@@ -12,93 +12,94 @@
 
 
 def _ignore(*event: object) -> None:
-    """Stand for an observer that is not set."""
+    """Default of the observer callbacks."""
 
 
 @attrs.define(kw_only=True)
 class Run:
-    """A run.
+    """A run of a task.
 
     Attributes
     ----------
-    begun, ends : float
-        Times of its start and of its planned end.
+    started_at_s, due_at_s : float
+        Times of its start and of its scheduled end.
     """
 
-    begun: float
-    ends: float
+    started_at_s: float
+    due_at_s: float
 
 
 @attrs.define(kw_only=True)
 class Worker:
-    """A lifetime of a worker.
+    """A worker in its current incarnation.
 
     Attributes
     ----------
     id : str
-        Its id.
+        Worker id.
     service : str
-        Service that it works for.
+        Service whose tasks it runs.
     capacity : dict of str to int
-        What it offers, as the platform writes it.
-    born_ms : int
-        Start of the lifetime.
+        Its resources, under the platform's key names.
+    incarnation_ms : int
+        Start time of the incarnation, by which callers tell it from others.
     run_s : float
-        Time that each run takes.
-    fence : int
+        Duration of each run.
+    fencing_token : int
         Highest fencing token seen.
-    lease_until : float
-        End of the lease of all runs.
+    lease_expires_s : float
+        Expiry of the lease that covers all runs.
     runs : dict of (str, int) to Run
-        What runs.
-    rejected : dict of str to int
-        Highest run of each task that was stopped or has ended.
-    ends : list of list
-        Listed ends.
-    next_end : int
-        Number of the next end.
+        Runs in progress, by task and run number.
+    highest_ended_runs : dict of str to int
+        Highest run number of each task that has ended or was stopped.
+    completions : list of list
+        Completions not acknowledged yet, as rows of the poll reply.
+    next_completion : int
+        Number of the next completion.
     starts : list of (str, int)
-        All runs that began, for the tests.
+        All runs that were started, for the tests.
     overlaps : list of str
-        Tasks that began while another run of them ran here.
+        Tasks that were started while another run of them was in progress.
     clock_rate : float
-        Speed of its clock; it may be 2% slow.
+        Rate of its clock, which may run up to 2% slow.
     on_start : function
-        Called with each start that is accepted, before it runs.
-    on_end : function
-        Called with the task, the run and how it ended.
+        Called with each accepted start command before the run begins.
+    on_completion : function
+        Called with the task, the run number and the outcome.
     on_acknowledged : function
-        Called with the task, the run and how, once an end is acknowledged.
-        An end after which the lease has lapsed no longer counts.
-    lapsed_end : int
-        Highest number of an end that was listed when the lease had lapsed.
+        Called with the task, the run number and the outcome when a completion
+        is acknowledged. Completions listed before the lease last expired are
+        left out.
+    last_expired_completion : int
+        Highest completion number when the lease was last found expired.
     silent : bool
-        Whether calls get no answer.
+        Whether requests get no response.
     """
 
     id: str
     service: str
     capacity: dict[str, int]
-    born_ms: int = 1
+    incarnation_ms: int = 1
     run_s: float = 0.2
-    fence: int = 0
-    lease_until: float = 0.0
+    fencing_token: int = 0
+    lease_expires_s: float = 0.0
     runs: dict[tuple[str, int], Run] = attrs.field(factory=dict)
-    rejected: dict[str, int] = attrs.field(factory=dict)
-    ends: list[list[object]] = attrs.field(factory=list)
-    next_end: int = 1
+    highest_ended_runs: dict[str, int] = attrs.field(factory=dict)
+    completions: list[list[object]] = attrs.field(factory=list)
+    next_completion: int = 1
     starts: list[tuple[str, int]] = attrs.field(factory=list)
     overlaps: list[str] = attrs.field(factory=list)
     clock_rate: float = 1.0
     on_start: collections.abc.Callable[[dict[str, object]], None] = _ignore
-    on_end: collections.abc.Callable[[str, int, str], None] = _ignore
+    on_completion: collections.abc.Callable[[str, int, str], None] = _ignore
     on_acknowledged: collections.abc.Callable[[str, int, str], None] = _ignore
-    lapsed_end: int = 0
+    last_expired_completion: int = 0
     silent: bool = False
 
 
-def write_entry(worker: Worker, address: str) -> bytes:
-    """Return the worker's entry in the store."""
+def encode_entry(worker: Worker, address: str) -> bytes:
+    """Return the value of the worker's store entry."""
     return json.dumps(
         {
             "service": worker.service,
@@ -110,30 +111,32 @@
             "coldLeftMs": 0,
             "capacity": worker.capacity,
             "labels": ["a", "r1-1"],
-            "born": worker.born_ms,
+            "born": worker.incarnation_ms,
             "seq": 1,
         }
     ).encode()
 
 
-def lapse(worker: Worker) -> None:
-    """End what has finished, and everything once the lease is over."""
+def end_due_runs(worker: Worker) -> None:
+    """End runs that are due, or all runs once the lease has expired."""
     now = time.monotonic()
-    if _clock_s(worker) > worker.lease_until:
-        worker.lapsed_end = worker.next_end - 1
+    if _clock_s(worker) > worker.lease_expires_s:
+        worker.last_expired_completion = worker.next_completion - 1
     for key, run in list(worker.runs.items()):
-        if _clock_s(worker) > worker.lease_until:
-            _end(worker, key, "lapsed")
-        elif now >= run.ends:
-            _end(worker, key, "done")
+        if _clock_s(worker) > worker.lease_expires_s:
+            _end_run(worker, key, "lapsed")
+        elif now >= run.due_at_s:
+            _end_run(worker, key, "done")
 
 
-def _end(worker: Worker, key: tuple[str, int], how: str) -> None:
+def _end_run(worker: Worker, key: tuple[str, int], outcome: str) -> None:
     del worker.runs[key]
-    worker.ends.append([worker.next_end, *key, how, ""])
-    worker.next_end += 1
-    worker.rejected[key[0]] = max(worker.rejected.get(key[0], 0), key[1])
-    worker.on_end(*key, how)
+    worker.completions.append([worker.next_completion, *key, outcome, ""])
+    worker.next_completion += 1
+    worker.highest_ended_runs[key[0]] = max(
+        worker.highest_ended_runs.get(key[0], 0), key[1]
+    )
+    worker.on_completion(*key, outcome)
 
 
 def _clock_s(worker: Worker) -> float:
@@ -149,29 +152,31 @@
     request: httputil.HTTPServerRequest,
     body: dict[str, object],
 ) -> _http.Answer:
-    """Answer an order."""
+    """Answer a command or a poll."""
     if worker.silent:
         return None
-    lapse(worker)
-    clock = {"clockMs": _clock_ms(worker), "born": worker.born_ms}
+    end_due_runs(worker)
+    clock = {"clockMs": _clock_ms(worker), "born": worker.incarnation_ms}
     if request.headers.get("Expect-Instance", worker.id) != worker.id:
         return 421, clock
-    if body.get("fence", 0) < worker.fence:
+    if body.get("fence", 0) < worker.fencing_token:
         return 409, {**clock, "reason": "fence"}
-    worker.fence = body.get("fence", 0)
+    worker.fencing_token = body.get("fence", 0)
     if "deadlineMs" in body:
-        until = body["deadlineMs"] / 1000
-        worker.lease_until = max(worker.lease_until, until)
+        deadline_s = body["deadlineMs"] / 1000
+        worker.lease_expires_s = max(worker.lease_expires_s, deadline_s)
     if request.path == "/v1/hold":
-        return await _hold(worker, body)
+        return await _poll(worker, body)
     if request.path == "/v1/run-start":
         return _start(worker, body, clock)
     if request.path == "/v1/run-stop":
         key = (body["task"], body["run"])
         if key in worker.runs:
-            _end(worker, key, "stopped")
-        former = worker.rejected.get(body["task"], 0)
-        worker.rejected[body["task"]] = max(former, body["run"])
+            _end_run(worker, key, "stopped")
+        previous_run = worker.highest_ended_runs.get(body["task"], 0)
+        worker.highest_ended_runs[body["task"]] = max(
+            previous_run, body["run"]
+        )
     return 200, clock
 
 
@@ -181,7 +186,7 @@
     task, run = body["task"], body["run"]
     if (task, run) in worker.runs:
         return 200, clock
-    if run <= worker.rejected.get(task, 0):
+    if run <= worker.highest_ended_runs.get(task, 0):
         return 409, {**clock, "reason": "old"}
     if body["deadlineMs"] < clock["clockMs"]:
         return 409, {**clock, "reason": "late"}
@@ -189,29 +194,31 @@
         worker.overlaps.append(task)
     worker.on_start(body)
     now = time.monotonic()
-    worker.runs[(task, run)] = Run(begun=now, ends=now + worker.run_s)
+    worker.runs[(task, run)] = Run(
+        started_at_s=now, due_at_s=now + worker.run_s
+    )
     worker.starts.append((task, run))
     return 200, clock
 
 
-async def _hold(worker: Worker, body: dict[str, object]) -> _http.Answer:
+async def _poll(worker: Worker, body: dict[str, object]) -> _http.Answer:
     seen = body["seenUpto"]
-    for number, task, run, how, _ in worker.ends:
-        if worker.lapsed_end < number <= seen:
-            worker.on_acknowledged(task, run, how)
-    worker.ends = [row for row in worker.ends if row[0] > seen]
-    until = time.monotonic() + body.get("waitMs", 0) / 1000
-    while not worker.ends and time.monotonic() < until:
+    for number, task, run, outcome, _ in worker.completions:
+        if worker.last_expired_completion < number <= seen:
+            worker.on_acknowledged(task, run, outcome)
+    worker.completions = [row for row in worker.completions if row[0] > seen]
+    deadline_s = time.monotonic() + body.get("waitMs", 0) / 1000
+    while not worker.completions and time.monotonic() < deadline_s:
         await asyncio.sleep(0.01)
-        lapse(worker)
+        end_due_runs(worker)
     now = time.monotonic()
     running = [
-        [task, run, "", int(99 * (now - each.begun) / worker.run_s), 0]
+        [task, run, "", int(99 * (now - each.started_at_s) / worker.run_s), 0]
         for (task, run), each in worker.runs.items()
     ]
     return 200, {
         "clockMs": _clock_ms(worker),
-        "born": worker.born_ms,
+        "born": worker.incarnation_ms,
         "running": running,
-        "ended": worker.ends[:500],
+        "ended": worker.completions[:500],
     }
--- a/standins/node_cell.py
+++ b/standins/node_cell.py
@@ -1,4 +1,4 @@
-"""A cell of real daemons on loopback, against the platform's stand-ins."""
+"""A cell of real daemons on loopback, with stand-ins for the platform."""
 
 import asyncio
 import collections.abc
@@ -22,45 +22,45 @@
 HOST = "dials.example"
 ROOT = pathlib.Path(__file__).parents[1]
 
-# Callers, readiness, mesh and metrics.
+# Ports for callers, readiness, mesh and metrics.
 PORTS_PER_NODE = 4
 
 
 @attrs.define(kw_only=True)
 class Node:
-    """A daemon's process.
+    """A daemon and its process.
 
     Attributes
     ----------
     name : str
         Name of the instance.
-    front, ready : int
-        Its ports.
+    caller_port, readiness_port : int
+        Ports for callers and for readiness.
     settings : Path
-        Its settings file.
+        Path of its settings file.
     process : Popen
-        The process.
+        Its process.
     """
 
     name: str
-    front: int
-    ready: int
+    caller_port: int
+    readiness_port: int
     settings: pathlib.Path
     process: subprocess.Popen
 
 
 @attrs.define(kw_only=True)
 class Cell:
-    """Stand-ins and daemons.
+    """A cell: the daemons and the stand-ins.
 
     Attributes
     ----------
     store, advisor : Store, Advisor
-        The platform's stand-ins.
+        Stand-ins for the store and the advisor.
     workers : list of Worker
-        Workers of the one service.
+        Workers of the only service.
     worker_addresses : list of str
-        Where the daemons reach each worker.
+        Address of each worker, as the daemons reach it.
     nodes : list of Node
         The daemons.
     """
@@ -73,7 +73,11 @@
 
 
 def make_config(version: int, *, prefix: str = "/layout/") -> bytes:
-    """Return a configuration with a queue, and one that names its version."""
+    """Return a configuration with a queue and a version probe.
+
+    The second route has the version in its path, so a request to it shows
+    whether a daemon has applied this version.
+    """
     return json.dumps(
         {
             "version": version,
@@ -130,17 +134,17 @@
     for worker in cell.workers:
         address = serve(cloud.answer_worker, worker)
         cell.worker_addresses.append(address)
-        entry = cloud.write_entry(worker, address)
+        entry = cloud.encode_entry(worker, address)
         cloud.put(cell.store, f"servers/{worker.id}", entry)
     cloud.put(cell.store, "op/config", make_config(1))
     ports = harness.make_harness(folder)
     try:
         for number in range(nodes):
-            # Ports of the ephemeral range may be taken by a connection
-            # between the choice and the daemon's start.
-            front = harness.find_ports(ports, PORTS_PER_NODE)
+            # An outgoing connection could take a port of the ephemeral range
+            # before the daemon binds it, so the harness picks lower ports.
+            caller_port = harness.find_ports(ports, PORTS_PER_NODE)
             cell.nodes.append(
-                start_node(folder, f"n{number}", store, advisor, front)
+                start_node(folder, f"n{number}", store, advisor, caller_port)
             )
         for node in cell.nodes:
             await until_ready(node)
@@ -156,10 +160,14 @@
 
 
 def start_node(
-    folder: pathlib.Path, name: str, store: str, advisor: str, front: int
+    folder: pathlib.Path, name: str, store: str, advisor: str, caller_port: int
 ) -> Node:
     """Write a daemon's settings and start it."""
-    ready, mesh, metrics = front + 1, front + 2, front + 3
+    readiness_port, mesh_port, metrics_port = (
+        caller_port + 1,
+        caller_port + 2,
+        caller_port + 3,
+    )
     settings = folder / f"{name}.jsonc"
     settings.write_text(
         json.dumps(
@@ -168,20 +176,20 @@
                 "data_centre": "a",
                 "ip": "127.0.0.1",
                 "listen": {
-                    "callers": f"127.0.0.1:{front}",
-                    "readiness": f"127.0.0.1:{ready}",
+                    "callers": f"127.0.0.1:{caller_port}",
+                    "readiness": f"127.0.0.1:{readiness_port}",
                 },
-                "mesh_ports": [mesh, mesh],
+                "mesh_ports": [mesh_port, mesh_port],
                 "store": {"address": store},
                 "advisor": advisor,
-                "metrics_port": metrics,
+                "metrics_port": metrics_port,
             }
         )
     )
     return Node(
         name=name,
-        front=front,
-        ready=ready,
+        caller_port=caller_port,
+        readiness_port=readiness_port,
         settings=settings,
         process=spawn(folder, name, settings),
     )
@@ -190,7 +198,7 @@
 def spawn(
     folder: pathlib.Path, name: str, settings: pathlib.Path
 ) -> subprocess.Popen:
-    """Start a daemon whose log goes to a file beside its settings."""
+    """Start a daemon that logs to a file beside its settings."""
     with open(folder / f"{name}.log", "ab") as log:
         return subprocess.Popen(
             [sys.executable, "-m", "chestnuttide.node"],
@@ -210,26 +218,30 @@
     Raises
     ------
     AssertionError
-        If it does not hold in time.
+        The condition did not hold in time.
     """
-    end = time.monotonic() + limit_s
+    deadline_s = time.monotonic() + limit_s
     while not condition():
-        assert time.monotonic() < end, "the condition did not come true"
+        assert time.monotonic() < deadline_s, (
+            "the condition did not hold in time"
+        )
         await asyncio.sleep(0.02)
 
 
 async def until_ready(node: Node) -> None:
     """Wait until a daemon is ready."""
-    end = time.monotonic() + 15
-    while await call(f"http://127.0.0.1:{node.ready}/v1/ready") != 200:
-        assert time.monotonic() < end, f"{node.name} is not ready"
+    deadline_s = time.monotonic() + 15
+    while (
+        await call(f"http://127.0.0.1:{node.readiness_port}/v1/ready") != 200
+    ):
+        assert time.monotonic() < deadline_s, f"{node.name} is not ready"
         await asyncio.sleep(0.05)
 
 
 async def call(
     url: str, *, method: str = "GET", body: bytes | None = None
 ) -> int:
-    """Return the status of a call; 599 if there was no answer."""
+    """Return the status of a request; 599 if there was no response."""
     status, _ = await fetch(url, method=method, body=body)
     return status
 
@@ -237,7 +249,7 @@
 async def fetch(
     url: str, *, method: str = "GET", body: bytes | None = None
 ) -> tuple[int, dict[str, object]]:
-    """Return the status and the body of a call."""
+    """Return the status and the decoded body of a response."""
     client = httpclient.AsyncHTTPClient()
     try:
         response = await client.fetch(
@@ -259,8 +271,8 @@
 
 
 def url(node: Node, job_id: str = "") -> str:
-    """Return the URL of a job, or of the queue."""
-    return f"http://127.0.0.1:{node.front}/layout/{job_id}"
+    """Return the URL of a job, or of the queue if no id is given."""
+    return f"http://127.0.0.1:{node.caller_port}/layout/{job_id}"
 
 
 def make_job(*, count: int = 2, steps: int = 1) -> bytes:
@@ -288,13 +300,13 @@
 
 
 async def until_state(node: Node, job_id: str, state: str) -> None:
-    """Wait until a job is shown in a state."""
-    end = time.monotonic() + 15
+    """Wait until a daemon reports a job in the given state."""
+    deadline_s = time.monotonic() + 15
     while True:
         _, document = await fetch(url(node, job_id))
         if document.get("state") == state:
             return
-        assert time.monotonic() < end, (job_id, document)
+        assert time.monotonic() < deadline_s, (job_id, document)
         await asyncio.sleep(0.05)
 
 
@@ -305,12 +317,12 @@
 
 
 def check_runs(cell: Cell) -> None:
-    """Assert that no task ran twice at once, nor again after its end."""
+    """Assert that no task ran twice on a worker or twice under one number."""
     for worker in cell.workers:
         assert worker.overlaps == []
-    numbers: dict[str, list[int]] = {}
+    runs_by_task: dict[str, list[int]] = {}
     for worker in cell.workers:
         for task, run in worker.starts:
-            numbers.setdefault(task, []).append(run)
-    for task, runs in numbers.items():
+            runs_by_task.setdefault(task, []).append(run)
+    for task, runs in runs_by_task.items():
         assert len(set(runs)) == len(runs), (task, runs)
