--- a/standins/_faults.py
+++ b/standins/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in brings about on purpose."""
+"""Faults that the stand-ins inject into calls."""
 
 import collections.abc
 import random
@@ -11,23 +11,24 @@
 
 @attrs.define(kw_only=True)
 class Faults:
-    """The faults in force for some calls.
+    """Active faults, set by ``POST /control``.
 
     Attributes
     ----------
     down : bool
-        Calls are refused with 503.
+        Whether calls are refused with 503.
     silent : bool
-        Calls are held without an answer, and closed once this is lifted.
+        Whether calls get no response; their connections are closed once this
+        fault is cleared.
     slow_s : float
-        Seconds before a call takes effect.
+        Delay before a call takes effect, in seconds.
     drop_answers : float
-        Answers that are lost after their call took effect: a whole number
-        counts down, a fraction below 1 is a probability.
+        Responses to drop after the call took effect. A value of 1 or more
+        counts down, one below 1 is a probability.
     for_prefix : str
-        Calls whose key begins with it; empty for all calls.
+        Key prefix of the calls to which the faults apply; empty for all.
     drop_kinds : list of str
-        Kinds of calls whose answers `drop_answers` loses.
+        Kinds of calls whose responses `drop_answers` drops; empty for all.
     """
 
     down: bool = False
@@ -39,32 +40,32 @@
 
 
 @attrs.frozen(kw_only=True)
-class Verdict:
-    """What happens to one call.
+class CallFaults:
+    """Faults to apply to one call.
 
     Attributes
     ----------
     refuse : bool
-        Answer with 503, without effect.
-    hold : bool
-        Keep the caller waiting, without effect.
+        Whether it is refused with 503, without effect.
+    block : bool
+        Whether the caller is kept waiting, without effect.
     delay_s : float
-        Seconds to wait before the call takes effect.
-    drop : bool
-        Close the connection in place of an answer.
+        Delay before the call takes effect, in seconds.
+    drop_response : bool
+        Whether the connection is closed instead of sending the response.
     """
 
     refuse: bool = False
-    hold: bool = False
+    block: bool = False
     delay_s: float = 0.0
-    drop: bool = False
+    drop_response: bool = False
 
 
-_CLEAN: typing.Final = Verdict()
+_NO_FAULTS: typing.Final = CallFaults()
 
 
 def update(faults: Faults, changes: dict[str, object]) -> None:
-    """Set the named faults.
+    """Set faults by name.
 
     Raises
     ------
@@ -82,33 +83,37 @@
         setattr(faults, name, value)
 
 
-def judge(faults: Faults, kind: str, key: str, rng: random.Random) -> Verdict:
-    """Return what happens to a call, and count down `drop_answers`.
+def draw_call_faults(
+    faults: Faults, kind: str, key: str, rng: random.Random
+) -> CallFaults:
+    """Return the faults to apply to a call, and count down `drop_answers`.
 
-    An empty kind stands for a call that is waiting, whose answer is not
-    counted yet.
+    An empty kind stands for a waiting call, whose response is never dropped
+    or counted.
     """
     if not key.startswith(faults.for_prefix):
-        return _CLEAN
+        return _NO_FAULTS
     if faults.silent:
-        return Verdict(hold=True)
+        return CallFaults(block=True)
     if faults.down:
-        return Verdict(refuse=True, delay_s=faults.slow_s)
-    return Verdict(delay_s=faults.slow_s, drop=_drops(faults, kind, rng))
-
-
-def join(verdicts: collections.abc.Iterable[Verdict]) -> Verdict:
-    """Return a verdict with every fault of the given ones."""
-    every = list(verdicts)
-    return Verdict(
-        refuse=any(verdict.refuse for verdict in every),
-        hold=any(verdict.hold for verdict in every),
-        delay_s=max((verdict.delay_s for verdict in every), default=0.0),
-        drop=any(verdict.drop for verdict in every),
+        return CallFaults(refuse=True, delay_s=faults.slow_s)
+    return CallFaults(
+        delay_s=faults.slow_s, drop_response=_draw_drop(faults, kind, rng)
     )
 
 
-def _drops(faults: Faults, kind: str, rng: random.Random) -> bool:
+def merge(parts: collections.abc.Iterable[CallFaults]) -> CallFaults:
+    """Return the union of the given faults."""
+    collected = list(parts)
+    return CallFaults(
+        refuse=any(each.refuse for each in collected),
+        block=any(each.block for each in collected),
+        delay_s=max((each.delay_s for each in collected), default=0.0),
+        drop_response=any(each.drop_response for each in collected),
+    )
+
+
+def _draw_drop(faults: Faults, kind: str, rng: random.Random) -> bool:
     if not kind or (faults.drop_kinds and kind not in faults.drop_kinds):
         return False
     if faults.drop_answers >= 1:
--- a/standins/_serving.py
+++ b/standins/_serving.py
@@ -1,4 +1,4 @@
-"""HTTP serving that the stand-ins share."""
+"""HTTP server parts shared by the stand-ins."""
 
 import argparse
 import asyncio
@@ -19,7 +19,7 @@
 
 HOST: typing.Final[str] = "127.0.0.1"
 
-# Enough for callers that connect all at once at the peak of a test.
+# Listen backlog for callers that all connect at once at the peak of a test.
 _BACKLOG: typing.Final[int] = 1024
 
 Control: typing.TypeAlias = collections.abc.Callable[
@@ -31,23 +31,23 @@
 
 
 @attrs.define(kw_only=True)
-class Served:
+class Standin:
     """A stand-in that is being served.
 
     Attributes
     ----------
     name : str
-        Name in the control server's paths.
+        Name in the paths of the control server.
     port : int
-        Port that it listens on.
+        Listening port.
     server : CountingServer
         Its HTTP server.
     control : function
         Applies the fields of a ``POST /control``.
     evidence : function
-        Returns the answer to ``GET /control`` from the query's fields.
+        Returns the response to ``GET /control``, given the query fields.
     close : function
-        Stops the stand-in's own timers.
+        Stops the timers of the stand-in.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
 
 class CountingServer(httpserver.HTTPServer):
-    """An HTTP server that knows its open connections."""
+    """An HTTP server that tracks its open connections."""
 
     def initialize(self, *args: typing.Any, **kwargs: typing.Any) -> None:
         """Create a server without connections."""
@@ -68,13 +68,13 @@
         self.on_open: collections.abc.Callable[[], None] = lambda: None
 
     def handle_stream(self, stream: iostream.IOStream, address: tuple) -> None:
-        """Count a new connection."""
+        """Track a new connection."""
         self.open_streams.add(stream)
         self.on_open()
         super().handle_stream(stream, address)
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a closed connection."""
+        """Drop closed connections."""
         self.open_streams = {
             stream for stream in self.open_streams if not stream.closed()
         }
@@ -82,7 +82,7 @@
 
 
 class Handler(web.RequestHandler):
-    """Base of the stand-ins' handlers."""
+    """Base class of the stand-ins' request handlers."""
 
     def reply(
         self,
@@ -90,13 +90,13 @@
         body: bytes,
         content_type: str = "application/json",
     ) -> None:
-        """Answer with a body."""
+        """Send a response with a body."""
         self.set_status(status)
         self.set_header("Content-Type", content_type)
         self.finish(body)
 
     def hang_up(self) -> None:
-        """Close the connection without an answer."""
+        """Close the connection without a response."""
         if not self._finished:
             self.detach().close()
 
@@ -105,26 +105,26 @@
         return
 
     def set_default_headers(self) -> None:
-        """Send no headers that the callers don't need."""
+        """Leave out headers that callers do not need."""
         self.clear_header("Server")
 
 
 class ControlHandler(Handler):
-    """Evidence and faults of one stand-in."""
+    """Handler for the observations and faults of one stand-in."""
 
     def initialize(self, control: Control, evidence: Evidence) -> None:
-        """Keep the functions of the stand-in."""
+        """Store the functions of the stand-in."""
         self._control = control
         self._evidence = evidence
 
     def prepare(self) -> None:
-        """Leave control connections out of the evidence."""
+        """Exclude control connections from the observations."""
         server = self.settings.get("server")
         if server is not None:
             server.open_streams.discard(self.request.connection.stream)
 
     def get(self) -> None:
-        """Return the evidence."""
+        """Return the observations."""
         query = {
             name: self.get_query_argument(name)
             for name in self.request.query_arguments
@@ -148,18 +148,18 @@
     routes: list[typing.Any],
     control: Control,
     evidence: Evidence,
-) -> Served:
+) -> Standin:
     """Serve routes and ``/control`` on a loopback port; 0 picks a free one."""
-    hooks = {"control": control, "evidence": evidence}
+    handler_arguments = {"control": control, "evidence": evidence}
     application = web.Application(
-        [*routes, ("/control", ControlHandler, hooks)],
+        [*routes, ("/control", ControlHandler, handler_arguments)],
         log_function=_log_nothing,
     )
     server = CountingServer(application)
     application.settings["server"] = server
     sockets = netutil.bind_sockets(port, HOST, backlog=_BACKLOG)
     server.add_sockets(sockets)
-    return Served(
+    return Standin(
         name=name,
         port=sockets[0].getsockname()[1],
         server=server,
@@ -168,10 +168,10 @@
     )
 
 
-def listen_control(port: int, served: list[Served]) -> CountingServer:
-    """Serve ``/control/<name>`` of stand-ins on a port of its own.
+def listen_control(port: int, standins: list[Standin]) -> CountingServer:
+    """Serve ``/control/<name>`` for stand-ins on a separate port.
 
-    It stays reachable when a stand-in refuses connections.
+    The port stays reachable when a stand-in refuses connections.
     """
     application = web.Application(
         [
@@ -180,7 +180,7 @@
                 ControlHandler,
                 {"control": item.control, "evidence": item.evidence},
             )
-            for item in served
+            for item in standins
         ],
         log_function=_log_nothing,
     )
@@ -189,52 +189,55 @@
     return server
 
 
-async def close(served: Served) -> None:
+async def close(standin: Standin) -> None:
     """Stop listening and close every connection."""
-    served.close()
-    served.server.stop()
-    for stream in list(served.server.open_streams):
+    standin.close()
+    standin.server.stop()
+    for stream in list(standin.server.open_streams):
         stream.close()
     await asyncio.sleep(0)
 
 
 def make_parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser with the arguments that all stand-ins take."""
+    """Return a parser with the arguments common to all stand-ins."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument(
-        "--port", type=int, required=True, help="first port; 0 picks one"
+        "--port",
+        type=int,
+        required=True,
+        help="first port; 0 picks a free one",
     )
     parser.add_argument(
         "--control-port",
         type=int,
         default=0,
-        help="port of /control/<name> for all; 0 for none",
+        help="port that serves /control/<name> for all; 0 for none",
     )
     return parser
 
 
 def run(
     control_port: int,
-    start: collections.abc.Callable[[], list[Served]],
+    start: collections.abc.Callable[[], list[Standin]],
 ) -> None:
-    """Serve until SIGTERM or SIGINT; prints one JSON line when ready."""
+    """Serve until SIGTERM or SIGINT; print one JSON line when ready."""
 
     async def serve() -> None:
-        stopped = asyncio.Event()
+        stop_requested = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stopped.set)
-        served = start()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop_requested.set)
+        standins = start()
         if control_port:
-            listen_control(control_port, served)
+            listen_control(control_port, standins)
         ready = {
             "message": "stand-in: ready",
-            "ports": {item.name: item.port for item in served},
+            "ports": {item.name: item.port for item in standins},
         }
         sys.stdout.write(json.dumps(ready) + "\n")
         sys.stdout.flush()
-        await stopped.wait()
-        for item in served:
+        await stop_requested.wait()
+        for item in standins:
             await close(item)
 
     asyncio.run(serve())
@@ -245,6 +248,6 @@
 
 
 def make_ids(first_id: str, count: int) -> list[str]:
-    """Return consecutive ids from ``<name>-<number>``."""
+    """Return consecutive ids that start at ``<name>-<number>``."""
     name, _dash, number = first_id.rpartition("-")
     return [f"{name}-{int(number) + offset}" for offset in range(count)]
--- a/standins/cell.py
+++ b/standins/cell.py
@@ -1,7 +1,7 @@
-"""A whole cell on loopback: stand-ins and the product's daemons.
+"""A whole cell on loopback: the product's daemons and the stand-ins.
 
-Used by the demonstration, the scenarios and the bench. Faults are brought
-about by the functions of `standins.harness` on the processes.
+Used by the demonstration, the scenarios and the bench. The functions of
+`standins.harness` inject faults into the processes.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 from standins import harness as harness_module
 
-# Requests of one test that may be under way in the evidence's snapshot.
+# Time that a request in transit needs to reach its destination.
 SETTLE_S: typing.Final[float] = 0.2
 READY_TIMEOUT_S: typing.Final[float] = 20.0
 
@@ -28,13 +28,13 @@
     name : str
         Prefix of their ids.
     count : int
-        How many.
+        Number of instances.
     service : str
-        Service of runners; empty for workers.
+        Service of the runners; empty for workers.
     cpu_millis, memory_mb, accelerators : int
         Capacity of each worker.
     per_rack : int
-        Instances in a rack.
+        Number of instances in a rack.
     """
 
     name: str
@@ -53,19 +53,19 @@
     Attributes
     ----------
     harness : Harness
-        Its processes.
+        Harness that holds its processes.
     directory : Path
-        Directory of settings and logs.
+        Directory of settings files and logs.
     data_centres : tuple of str
-        Data centres over which instances are spread in turn.
+        Data centres over which instances are spread round robin.
     store, instance_list : Process
-        The platform's stand-ins.
+        Stand-ins for the store and the instance list.
     workers, runners : dict of str to Process
-        Process of each worker or runner, by id.
+        Process that serves each worker or runner, by id.
     instances : dict of str to dict
-        The instance list's entries by id.
+        Entries of the instance list by instance id.
     http_ports : dict of str to int
-        HTTP port of each entry instance.
+        HTTP port of each entry daemon, by instance id.
     metrics_ports : dict of str to int
         Metrics port of each scheduler, by instance id.
     """
@@ -88,14 +88,14 @@
     groups: typing.Sequence[Group] = (),
     list_lag_s: float = 0.2,
 ) -> Cell:
-    """Start the platform's stand-ins.
+    """Start the stand-ins for the platform.
 
     Parameters
     ----------
     harness : Harness
-        Holds the processes.
+        Harness that holds the processes.
     groups : sequence of Group
-        Workers and runners; each group is one process.
+        Workers and runners; each group runs in one process.
     list_lag_s : float
         Lag of the instance list in seconds.
     """
@@ -112,7 +112,7 @@
 
 
 def add_group(cell: Cell, group: Group) -> None:
-    """Start workers or runners and list them."""
+    """Start workers or runners and add them to the instance list."""
     kind = "runner" if group.service else "worker_agent"
     arguments = []
     if not group.service:
@@ -132,22 +132,22 @@
         first_id=f"{group.name}-1",
         arguments=arguments,
     )
-    listed = []
+    entries = []
     for number, (name, port) in enumerate(process.ports.items()):
         (cell.runners if group.service else cell.workers)[name] = process
-        listed.append(_describe(cell, group, number, name, port))
-    set_instances(cell, listed)
+        entries.append(_make_list_entry(cell, group, number, name, port))
+    set_instances(cell, entries)
 
 
 def set_instances(cell: Cell, instances: list[dict[str, typing.Any]]) -> None:
-    """Add or change instances of the platform's list."""
+    """Add or change entries of the instance list."""
     for each in instances:
         cell.instances[each["instance_id"]] = each
     harness_module.control(cell.instance_list, {"set": instances})
 
 
 def set_state(cell: Cell, instance_id: str, state: str) -> None:
-    """Mark an instance as live, leaving or gone in the list."""
+    """Mark an instance as live, leaving or gone in the instance list."""
     changed = {**cell.instances[instance_id], "state": state}
     set_instances(cell, [changed])
 
@@ -158,7 +158,7 @@
     *,
     settings: dict[str, typing.Any] | None = None,
 ) -> None:
-    """Start the two daemons of an entry instance and list it.
+    """Start the two daemons of an entry instance and add it to the list.
 
     Parameters
     ----------
@@ -167,7 +167,7 @@
     instance_id : str
         Id of the instance.
     settings : dict, optional
-        Settings that replace or add to the usual ones, by section.
+        Settings that override or extend the defaults, by section.
     """
     data_centre = cell.data_centres[
         len(cell.http_ports) % len(cell.data_centres)
@@ -210,7 +210,7 @@
 
 
 def daemons(cell: Cell, instance_id: str) -> list[harness_module.Process]:
-    """Return the scheduler and the entry process of an instance."""
+    """Return the scheduler and the entry daemon of an instance."""
     return [
         cell.harness.processes[f"{program}-{instance_id}"]
         for program in ("scheduler", "entry")
@@ -218,13 +218,13 @@
 
 
 def kill_instance(cell: Cell, instance_id: str) -> None:
-    """Crash both daemons of an instance; the list does not know yet."""
+    """Kill both daemons of an instance; the instance list is unchanged."""
     for process in daemons(cell, instance_id):
         harness_module.kill(process)
 
 
 def restart_instance(cell: Cell, instance_id: str) -> None:
-    """Start both daemons of an instance again."""
+    """Restart both daemons of an instance."""
     for process in daemons(cell, instance_id):
         harness_module.restart(cell.harness, process.name)
 
@@ -236,7 +236,7 @@
     path: str,
     body: object | None = None,
 ) -> tuple[int, typing.Any]:
-    """Call an entry; returns the status and the decoded JSON answer."""
+    """Call an entry daemon; return the status and the decoded JSON body."""
     encoded = None if body is None else json.dumps(body).encode()
     status, answer = harness_module.call(
         cell.http_ports[instance_id], method, path, encoded
@@ -253,12 +253,12 @@
     what: str,
     timeout_s: float = READY_TIMEOUT_S,
 ) -> float:
-    """Wait until a condition holds; returns the seconds that it took.
+    """Wait until a condition holds; return how long it took in seconds.
 
     Raises
     ------
     TimeoutError
-        It does not hold in time.
+        The condition does not hold in time.
     """
     started = time.monotonic()
     while True:
@@ -275,10 +275,12 @@
 def patch_config(
     cell: Cell, instance_id: str, patch: dict[str, typing.Any]
 ) -> int:
-    """Submit a config patch against the head; returns the new version."""
+    """Submit a patch to the newest configuration; return the new version."""
     status, head = call(cell, instance_id, "GET", "/v1/config")
     if status != 200:
-        raise RuntimeError(f"config read gave {status}: {head}")
+        raise RuntimeError(
+            f"reading the configuration returned {status}: {head}"
+        )
     status, answer = call(
         cell,
         instance_id,
@@ -287,7 +289,9 @@
         {"base": head["version"], "patch": patch, "author": "test"},
     )
     if status != 200:
-        raise RuntimeError(f"config patch gave {status}: {answer}")
+        raise RuntimeError(
+            f"patching the configuration returned {status}: {answer}"
+        )
     return answer["version"]
 
 
@@ -296,7 +300,7 @@
     instance_ids: typing.Sequence[str],
     timeout_s: float = READY_TIMEOUT_S,
 ) -> None:
-    """Wait until entries are ready and every desired shard has an owner."""
+    """Wait until entry daemons are ready and desired shards have owners."""
 
     def is_ready() -> bool:
         return all(
@@ -313,7 +317,7 @@
     shards: typing.Collection[str],
     timeout_s: float = READY_TIMEOUT_S,
 ) -> float:
-    """Wait until the status names an owner for each shard."""
+    """Wait until the status lists an owner for each shard."""
 
     def is_owned() -> bool:
         status, answer = call(cell, instance_id, "GET", "/v1/status")
@@ -326,7 +330,7 @@
 
 
 def owner_of(cell: Cell, instance_id: str, shard: str) -> str:
-    """Return the instance that serves a shard, or an empty string."""
+    """Return the instance that owns a shard, or an empty string."""
     _, answer = call(cell, instance_id, "GET", "/v1/status")
     rows = [row for row in answer["shards"] if row["shard"] == shard]
     rows.sort(key=lambda row: row["epoch"])
@@ -334,7 +338,7 @@
 
 
 def runner_evidence(cell: Cell) -> list[dict[str, typing.Any]]:
-    """Return the evidence of all runners, with the ids that they saw."""
+    """Return the observations of all runners, including request ids."""
     return [
         harness_module.evidence(process, name=name, query="ids=1")
         for name, process in cell.runners.items()
@@ -342,7 +346,7 @@
 
 
 def worker_evidence(cell: Cell) -> list[dict[str, typing.Any]]:
-    """Return the evidence of all workers."""
+    """Return the observations of all workers."""
     return [
         harness_module.evidence(process, name=name)
         for name, process in cell.workers.items()
@@ -350,7 +354,7 @@
 
 
 def quote(text: str) -> str:
-    """Return text as part of a path."""
+    """Return text escaped as a path segment."""
     return urllib.parse.quote(text, safe="")
 
 
@@ -358,12 +362,12 @@
     return f"{harness_module.HOST}:{next(iter(process.ports.values()))}"
 
 
-def _describe(
+def _make_list_entry(
     cell: Cell, group: Group, number: int, name: str, port: int
 ) -> dict[str, typing.Any]:
     rack = number // group.per_rack
     data_centre = cell.data_centres[rack % len(cell.data_centres)]
-    listed: dict[str, typing.Any] = {
+    entry: dict[str, typing.Any] = {
         "instance_id": name,
         "kind": "target" if group.service else "worker",
         "state": "live",
@@ -372,11 +376,11 @@
         "address": f"{harness_module.HOST}:{port}",
     }
     if group.service:
-        listed |= {"service": group.service, "slots": 8, "connections": 64}
+        entry |= {"service": group.service, "slots": 8, "connections": 64}
     else:
-        listed["capacity"] = {
+        entry["capacity"] = {
             "cpu_millis": group.cpu_millis,
             "memory_mb": group.memory_mb,
             "accelerators": group.accelerators,
         }
-    return listed
+    return entry
--- a/standins/harness.py
+++ b/standins/harness.py
@@ -1,8 +1,8 @@
-"""Processes for tests, demonstrations and scenarios.
+"""Starts and stops processes for tests, demonstrations and scenarios.
 
-The product starts no processes; this scaffolding does. Every process gets a
-process group of its own and is killed when the harness closes, when Python
-exits, or when the process of the harness dies.
+Every process runs in its own process group and is killed when the harness
+closes, when Python exits, or when the process of the harness dies. The product
+itself starts no processes.
 """
 
 import atexit
@@ -25,19 +25,19 @@
 
 HOST: typing.Final[str] = "127.0.0.1"
 
-# Ports below the kernel's range for outgoing connections, so that no
-# connection takes a port between its choice and its use.
+# Below the kernel's ephemeral port range, so that no outgoing connection takes
+# a port between its selection and its use.
 PORT_RANGE: typing.Final[tuple[int, int]] = (12_000, 30_000)
 
-# Seconds until a started process must be ready, on a busy machine.
+# Time limit for a started process to become ready, even on a busy machine.
 READY_TIMEOUT_S: typing.Final[float] = 15.0
 
-# Seconds that a planned stop may take.
+# Time limit of a graceful stop.
 STOP_TIMEOUT_S: typing.Final[float] = 15.0
 
 _ROOT: typing.Final = pathlib.Path(__file__).resolve().parent.parent
-_POLL_S: typing.Final[float] = 0.02
-_PAUSE_POLL_S: typing.Final[float] = 0.001
+_CONDITION_POLL_S: typing.Final[float] = 0.02
+_STOPPED_POLL_S: typing.Final[float] = 0.001
 _CONTROL_TIMEOUT_S: typing.Final[float] = 10.0
 _READY_MESSAGE: typing.Final[str] = '"stand-in: ready"'
 _PR_SET_PDEATHSIG: typing.Final[int] = 1
@@ -51,11 +51,11 @@
     Attributes
     ----------
     name : str
-        Its name in the harness and in log files.
+        Name in the harness and in the names of log files.
     command : list of str
-        Its command line.
+        Command line.
     popen : Popen
-        The process.
+        The operating system process.
     log_path : Path
         File with its standard output.
     error_path : Path
@@ -63,7 +63,7 @@
     control_port : int
         Port of ``/control/<name>`` of a stand-in; 0 for a daemon.
     ports : dict of str to int
-        Ports of the stand-ins in the process, by their names.
+        Ports of the stand-ins in the process, by name.
     """
 
     name: str
@@ -84,16 +84,16 @@
     directory : Path
         Directory of the logs.
     processes : dict of str to Process
-        The processes by name, also those that have ended.
-    taken : set of int
-        Ports given out so far.
+        Processes by name, including ended ones.
+    allocated_ports : set of int
+        Ports handed out so far.
     rng : Random
-        Draws ports.
+        Picks ports.
     """
 
     directory: pathlib.Path
     processes: dict[str, Process] = attrs.Factory(dict)
-    taken: set[int] = attrs.Factory(set)
+    allocated_ports: set[int] = attrs.Factory(set)
     rng: random.Random = attrs.Factory(random.Random)
 
 
@@ -119,12 +119,14 @@
 
 def find_ports(harness: Harness, count: int = 1) -> int:
     """Return the first of `count` consecutive free loopback ports."""
-    low, high = PORT_RANGE
+    first_port, end_port = PORT_RANGE
     while True:
-        first = harness.rng.randrange(low, high - count)
+        first = harness.rng.randrange(first_port, end_port - count)
         ports = range(first, first + count)
-        if harness.taken.isdisjoint(ports) and all(map(_is_free, ports)):
-            harness.taken.update(ports)
+        if harness.allocated_ports.isdisjoint(ports) and all(
+            map(_is_free, ports)
+        ):
+            harness.allocated_ports.update(ports)
             return first
 
 
@@ -136,13 +138,13 @@
     control_port: int = 0,
     ports: dict[str, int] | None = None,
 ) -> Process:
-    """Start a command; a process of the same name must have ended.
+    """Start a command; an earlier process of the same name must have ended.
 
-    The logs of an earlier process of that name are continued.
+    The new process appends to the log files of the earlier one.
     """
-    earlier = harness.processes.get(name)
-    if earlier is not None and earlier.popen.poll() is None:
-        raise ValueError(f"{name} is running already")
+    previous = harness.processes.get(name)
+    if previous is not None and previous.popen.poll() is None:
+        raise ValueError(f"{name} is already running")
     log_path = harness.directory / f"{name}.log"
     error_path = harness.directory / f"{name}.err"
     environment = {**os.environ, "PYTHONPATH": str(_ROOT)}
@@ -155,7 +157,7 @@
             cwd=_ROOT,
             env=environment,
             start_new_session=True,
-            preexec_fn=die_with_parent,
+            preexec_fn=kill_on_parent_exit,
         )
     process = Process(
         name=name,
@@ -189,20 +191,20 @@
     kind : str
         ``store``, ``instance_list``, ``worker_agent`` or ``runner``.
     name : str
-        Name of the process; the kind when empty.
+        Name of the process; defaults to the kind.
     count : int
-        Workers or runners in the process; 0 for the other kinds.
+        Number of workers or runners in the process; 0 for the other kinds.
     first_id : str
-        ``<name>-<number>`` of the first worker or runner.
+        Id ``<name>-<number>`` of the first worker or runner.
     arguments : sequence of str
-        Further arguments.
+        Further command line arguments.
     timeout_s : float
-        Seconds until it must be ready.
+        Time limit for it to become ready, in seconds.
 
     Returns
     -------
     Process
-        Its `ports` are by the names of the stand-ins.
+        The process, with the ports of its stand-ins.
     """
     port = find_ports(harness, max(1, count))
     control_port = find_ports(harness)
@@ -229,7 +231,9 @@
     *,
     name: str = "",
 ) -> Process:
-    """Start a daemon of the product; see `wait_for_http` for its readiness.
+    """Start a daemon of the product without waiting until it is ready.
+
+    `wait_for_http` waits for its readiness.
 
     Parameters
     ----------
@@ -238,9 +242,9 @@
     program : str
         ``entry`` or ``scheduler``.
     settings_path : str or path
-        Its settings file.
+        Path of its settings file.
     name : str
-        Name of the process; the program when empty.
+        Name of the process; defaults to the program.
     """
     command = [sys.executable, "-m", f"chestnuttide.{program}"]
     command += ["--settings", str(settings_path)]
@@ -250,13 +254,13 @@
 def restart(
     harness: Harness, name: str, *, timeout_s: float = READY_TIMEOUT_S
 ) -> Process:
-    """Start an ended process again with the same command line."""
-    earlier = harness.processes[name]
+    """Restart an ended process with the same command line."""
+    previous = harness.processes[name]
     process = start(
         harness,
         name,
-        earlier.command,
-        control_port=earlier.control_port,
+        previous.command,
+        control_port=previous.control_port,
     )
     if process.control_port:
         wait_until_ready(process, timeout_s=timeout_s)
@@ -266,25 +270,25 @@
 def wait_until_ready(
     process: Process, *, timeout_s: float = READY_TIMEOUT_S
 ) -> None:
-    """Wait for a stand-in's ready line and fill in its ports.
+    """Wait for a stand-in's ready line and store the ports it lists.
 
     Raises
     ------
     TimeoutError
-        It is not ready in time.
+        The stand-in is not ready in time.
     RuntimeError
-        It has ended; the message has its standard error.
+        The stand-in has ended; the message includes its standard error.
     """
 
     def find_ready() -> bool:
-        # After a restart the log holds lines of earlier processes, so the
-        # control port is asked, too.
+        # After a restart the log still holds the ready lines of earlier
+        # processes, so the control port must accept connections as well.
         lines = [
             line
             for line in process.log_path.read_text().splitlines()
             if _READY_MESSAGE in line
         ]
-        if not lines or not _connects(process.control_port):
+        if not lines or not _accepts_connections(process.control_port):
             return False
         process.ports = json.loads(lines[-1])["ports"]
         return True
@@ -300,7 +304,7 @@
     status: int = 200,
     timeout_s: float = READY_TIMEOUT_S,
 ) -> None:
-    """Wait until a daemon answers a GET with a status.
+    """Wait until a daemon responds to a GET with the given status.
 
     Raises
     ------
@@ -323,7 +327,7 @@
     *,
     timeout_s: float,
 ) -> None:
-    """Wait until a condition holds while a process runs.
+    """Wait until a condition holds; fail if the process ends first.
 
     Raises
     ------
@@ -342,30 +346,30 @@
                 f"{process.name} is not ready after {timeout_s} s:"
                 f" {process.error_path.read_text()[-2000:]}"
             )
-        time.sleep(_POLL_S)
+        time.sleep(_CONDITION_POLL_S)
 
 
 def kill(process: Process) -> None:
-    """Crash a process with SIGKILL."""
-    _signal(process, signal.SIGKILL)
+    """Kill a process group with SIGKILL and wait for its end."""
+    _send_signal(process, signal.SIGKILL)
     process.popen.wait()
 
 
 def pause(process: Process) -> None:
-    """Pause a process with SIGSTOP and wait until it stands still."""
-    _signal(process, signal.SIGSTOP)
-    # The kernel stops a process some time after the signal was sent. WSTOPPED
-    # alone leaves the exit status to Popen.
+    """Pause a process with SIGSTOP and wait until it has stopped."""
+    _send_signal(process, signal.SIGSTOP)
+    # The kernel stops a process some time after the signal was sent. Without
+    # WEXITED, waitid leaves the exit status to Popen.
     options = os.WSTOPPED | os.WNOHANG
     while process.popen.poll() is None:
         if os.waitid(os.P_PID, process.popen.pid, options) is not None:
             return
-        time.sleep(_PAUSE_POLL_S)
+        time.sleep(_STOPPED_POLL_S)
 
 
 def resume(process: Process) -> None:
-    """Continue a paused process with SIGCONT."""
-    _signal(process, signal.SIGCONT)
+    """Resume a paused process with SIGCONT."""
+    _send_signal(process, signal.SIGCONT)
 
 
 def terminate(process: Process, *, timeout_s: float = STOP_TIMEOUT_S) -> int:
@@ -374,9 +378,9 @@
     Raises
     ------
     subprocess.TimeoutExpired
-        It is still running after the timeout.
+        The process is still running after the timeout.
     """
-    _signal(process, signal.SIGTERM)
+    _send_signal(process, signal.SIGTERM)
     return process.popen.wait(timeout=timeout_s)
 
 
@@ -389,12 +393,12 @@
 def control(
     process: Process, fields: dict[str, typing.Any], *, name: str = ""
 ) -> dict[str, typing.Any]:
-    """Set faults of a stand-in; `name` selects one of several.
+    """Set faults of a stand-in; `name` selects one of several in a process.
 
     Raises
     ------
     RuntimeError
-        The stand-in refused the fields.
+        The stand-in rejected the fields.
     """
     return _control(process, "POST", name, "", json.dumps(fields).encode())
 
@@ -402,14 +406,14 @@
 def evidence(
     process: Process, *, name: str = "", query: str = ""
 ) -> dict[str, typing.Any]:
-    """Return the evidence of a stand-in; `name` selects one of several."""
+    """Return a stand-in's observations; `name` selects one of several."""
     return _control(process, "GET", name, query and f"?{query}", None)
 
 
 def call(
     port: int, method: str, path: str, body: bytes | None = None
 ) -> tuple[int, bytes]:
-    """Make one HTTP call to a loopback port; return status and body."""
+    """Make an HTTP request to a loopback port; return status and body."""
     connection = http.client.HTTPConnection(
         HOST, port, timeout=_CONTROL_TIMEOUT_S
     )
@@ -424,32 +428,34 @@
 def _control(
     process: Process, method: str, name: str, query: str, body: bytes | None
 ) -> dict[str, typing.Any]:
-    chosen = name or next(iter(process.ports))
+    standin_name = name or next(iter(process.ports))
     status, answer = call(
-        process.control_port, method, f"/control/{chosen}{query}", body
+        process.control_port, method, f"/control/{standin_name}{query}", body
     )
     if status != 200:
-        raise RuntimeError(f"{chosen} answered {status}: {answer!r}")
+        raise RuntimeError(
+            f"{standin_name} responded with {status}: {answer!r}"
+        )
     return json.loads(answer)
 
 
-def _signal(process: Process, number: int) -> None:
+def _send_signal(process: Process, signal_number: int) -> None:
     if process.popen.poll() is None:
         with contextlib.suppress(ProcessLookupError):
-            os.killpg(process.popen.pid, number)
+            os.killpg(process.popen.pid, signal_number)
 
 
 def _is_free(port: int) -> bool:
-    with socket.socket() as candidate:
-        candidate.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    with socket.socket() as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            candidate.bind((HOST, port))
+            probe.bind((HOST, port))
         except OSError:
             return False
     return True
 
 
-def _connects(port: int) -> bool:
+def _accepts_connections(port: int) -> bool:
     try:
         socket.create_connection((HOST, port), timeout=1.0).close()
     except OSError:
@@ -457,6 +463,6 @@
     return True
 
 
-def die_with_parent() -> None:
-    """Have the kernel kill this process when the harness's process ends."""
+def kill_on_parent_exit() -> None:
+    """Have the kernel kill this process when its parent dies."""
     _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/standins/instance_list/__init__.py
+++ b/standins/instance_list/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's lagging instance list."""
+"""Stand-in for the platform's instance list, which lags behind changes."""
 
 from standins.instance_list import _server
 from standins.instance_list import _state
--- a/standins/instance_list/_server.py
+++ b/standins/instance_list/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of the instance list."""
+"""HTTP server of the instance list stand-in."""
 
 import asyncio
 import collections
@@ -16,20 +16,20 @@
 
 @attrs.define(kw_only=True)
 class Endpoint:
-    """The list with its faults and counts.
+    """The instance list with its faults and call counts.
 
     Attributes
     ----------
     state : State
-        The list.
+        State of the list.
     faults : Faults
-        The faults in force.
+        Active faults.
     rng : Random
-        Draws which answers are lost.
+        Decides which responses are dropped.
     counts : Counter
-        Calls by kind of the instances.
+        Number of calls by requested kind of instance.
     bytes_out : int
-        Bytes of the bodies of answers.
+        Total size of the response bodies in bytes.
     """
 
     state: _state.State = attrs.Factory(_state.State)
@@ -40,14 +40,14 @@
 
 
 class ListHandler(_serving.Handler):
-    """The call for changes."""
+    """Handler for queries of changes."""
 
     def initialize(self, endpoint: Endpoint) -> None:
-        """Keep the list."""
+        """Store the endpoint."""
         self._endpoint = endpoint
 
     async def get(self) -> None:
-        """Return the changes."""
+        """Return the changes after a revision."""
         endpoint = self._endpoint
         kind = self.get_query_argument("kind", "")
         try:
@@ -56,18 +56,20 @@
             self.reply(400, b'{"error":"after is no revision"}')
             return
         endpoint.counts[kind or "all"] += 1
-        verdict = _faults.judge(endpoint.faults, "list", "", endpoint.rng)
-        while verdict.hold:
-            await asyncio.sleep(_HOLD_STEP_S)
+        call_faults = _faults.draw_call_faults(
+            endpoint.faults, "list", "", endpoint.rng
+        )
+        while call_faults.block:
+            await asyncio.sleep(_BLOCK_POLL_S)
             if not endpoint.faults.silent:
                 self.hang_up()
                 return
-        if verdict.delay_s:
-            await asyncio.sleep(verdict.delay_s)
-        if verdict.refuse:
+        if call_faults.delay_s:
+            await asyncio.sleep(call_faults.delay_s)
+        if call_faults.refuse:
             self.reply(503, b'{"error":"down"}')
             return
-        if verdict.drop:
+        if call_faults.drop_response:
             self.hang_up()
             return
         body = _instance_list_wire.encode_changes(
@@ -77,8 +79,8 @@
         self.reply(200, body)
 
 
-# Seconds between looks at whether a held call is to be closed.
-_HOLD_STEP_S: typing.Final[float] = 0.05
+# Interval at which a blocked call checks whether the fault was cleared.
+_BLOCK_POLL_S: typing.Final[float] = 0.05
 
 
 def control(endpoint: Endpoint, fields: dict[str, typing.Any]) -> None:
@@ -89,24 +91,24 @@
     endpoint : Endpoint
         The list.
     fields : dict
-        ``set`` (instances to change or add), ``lag_s``, ``reset`` (lifts all
-        faults) and fields of `Faults`.
+        ``set`` (instances to change or add), ``lag_s``, ``reset`` (clears all
+        faults) and the fields of `Faults`.
     """
     changes = dict(fields)
     if changes.pop("reset", False):
         endpoint.faults = _faults.Faults()
     endpoint.state.lag_s = float(changes.pop("lag_s", endpoint.state.lag_s))
-    plain = changes.pop("set", [])
+    encoded = changes.pop("set", [])
     _faults.update(endpoint.faults, changes)
     _state.put(
         endpoint.state,
-        _instance_list_wire.decode_instances(plain),
+        _instance_list_wire.decode_instances(encoded),
         time.monotonic(),
     )
 
 
 def evidence(endpoint: Endpoint) -> dict[str, typing.Any]:
-    """Return the list, its counts and the faults in force."""
+    """Return the list, the call counts and the active faults."""
     return {
         **_state.evidence(endpoint.state, time.monotonic()),
         "counts": dict(endpoint.counts),
@@ -115,20 +117,26 @@
     }
 
 
-def listen(*, port: int, endpoint: Endpoint | None = None) -> _serving.Served:
+def listen(*, port: int, endpoint: Endpoint | None = None) -> _serving.Standin:
     """Serve an instance list on a loopback port; 0 picks a free one."""
-    used = endpoint or Endpoint()
+    served_endpoint = endpoint or Endpoint()
     return _serving.listen(
         name="instance_list",
         port=port,
-        routes=[(_instance_list_wire.PATH, ListHandler, {"endpoint": used})],
-        control=lambda fields: control(used, fields),
-        evidence=lambda _query: evidence(used),
+        routes=[
+            (
+                _instance_list_wire.PATH,
+                ListHandler,
+                {"endpoint": served_endpoint},
+            )
+        ],
+        control=lambda fields: control(served_endpoint, fields),
+        evidence=lambda _query: evidence(served_endpoint),
     )
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in process."""
     parser = _serving.make_parser("Stand-in for the instance list.")
     arguments = parser.parse_args()
     _serving.run(arguments.control_port, lambda: [listen(port=arguments.port)])
--- a/standins/instance_list/_state.py
+++ b/standins/instance_list/_state.py
@@ -1,4 +1,4 @@
-"""The instance list's state: instances and changes that show late."""
+"""State of the instance list, whose changes become visible after a lag."""
 
 import typing
 
@@ -9,61 +9,63 @@
 
 
 @attrs.define(kw_only=True)
-class Pending:
-    """A change that does not show yet.
+class PendingChange:
+    """A change that is not visible yet.
 
     Attributes
     ----------
-    shows : float
-        Time from which it shows.
+    visible_at_s : float
+        Time at which it becomes visible.
     instances : list of Instance
         The changed instances.
     """
 
-    shows: float
+    visible_at_s: float
     instances: list[model.Instance]
 
 
 @attrs.define(kw_only=True)
 class State:
-    """The list.
+    """State of the list.
 
     Attributes
     ----------
     revision : int
-        Number of the last change that shows.
+        Revision of the last visible change.
     instances : dict of str to Instance
-        The instances that show, by id.
+        Visible instances by id.
     revisions : dict of str to int
         Revision of the last change of each instance.
-    pending : list of Pending
-        Changes that do not show yet, in order.
+    pending : list of PendingChange
+        Changes that are not visible yet, oldest first.
     lag_s : float
-        Seconds until a change shows.
+        Delay until a change becomes visible, in seconds.
     """
 
     revision: int = 0
     instances: dict[str, model.Instance] = attrs.Factory(dict)
     revisions: dict[str, int] = attrs.Factory(dict)
-    pending: list[Pending] = attrs.Factory(list)
+    pending: list[PendingChange] = attrs.Factory(list)
     lag_s: float = 0.0
 
 
 def put(state: State, instances: list[model.Instance], now: float) -> None:
-    """Change or add instances; the change shows after the lag."""
+    """Change or add instances; the change becomes visible after the lag."""
     state.pending.append(
-        Pending(shows=now + state.lag_s, instances=list(instances))
+        PendingChange(
+            visible_at_s=now + state.lag_s, instances=list(instances)
+        )
     )
-    show(state, now)
+    apply_due_changes(state, now)
 
 
-def show(state: State, now: float) -> None:
-    """Apply the pending changes whose lag is over.
+def apply_due_changes(state: State, now: float) -> None:
+    """Apply the pending changes whose lag has passed.
 
-    Changes show in the order in which they were made, also when the lag was
-    shortened in between.
+    Changes become visible in the order in which they were made, even if the
+    lag was shortened in between.
     """
-    while state.pending and state.pending[0].shows <= now:
+    while state.pending and state.pending[0].visible_at_s <= now:
         for instance in state.pending.pop(0).instances:
             if state.instances.get(instance.instance_id) == instance:
                 continue
@@ -77,10 +79,10 @@
 ) -> platform.InstanceChanges:
     """Return the instances that changed after a revision, oldest first.
 
-    A revision above that of the list is one of an earlier run of the list, so
-    every instance is returned.
+    A revision above that of the list dates from before a restart of the list,
+    so all instances are returned.
     """
-    show(state, now)
+    apply_due_changes(state, now)
     after = 0 if after_revision > state.revision else after_revision
     changed = sorted(
         (revision, name)
@@ -98,8 +100,8 @@
 
 
 def evidence(state: State, now: float) -> dict[str, typing.Any]:
-    """Return what shows and how much does not show yet."""
-    show(state, now)
+    """Return the visible instances and the number of pending changes."""
+    apply_due_changes(state, now)
     return {
         "revision": state.revision,
         "instances": list(state.instances.values()),
--- a/standins/node_cell.py
+++ b/standins/node_cell.py
@@ -206,7 +206,7 @@
             env={**os.environ, "CHESTNUTTIDE_CONFIG": str(settings)},
             stdout=log,
             stderr=log,
-            preexec_fn=harness.die_with_parent,
+            preexec_fn=harness.kill_on_parent_exit,
         )
 
 
--- a/standins/runner/__init__.py
+++ b/standins/runner/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for runners, the targets of services."""
+"""Stand-in for runners, the targets of a service."""
 
 from standins.runner import _server
 from standins.runner import _state
--- a/standins/runner/_server.py
+++ b/standins/runner/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of runners."""
+"""HTTP server of the runner stand-in."""
 
 import asyncio
 import json
@@ -20,30 +20,31 @@
 
 
 @attrs.define(kw_only=True)
-class Switches:
-    """The faults of a runner.
+class RunnerFaults:
+    """Faults of a runner, set by ``POST /control``.
 
     Attributes
     ----------
     leaving : bool
-        Whether it is leaving.
+        Whether the runner is leaving.
     say_leaving : bool
-        Whether it refuses requests with 503 and ``X-Leaving: 1`` then; else
-        it runs them and counts them as runs after the mark.
+        Whether a leaving runner refuses requests with 503 and
+        ``X-Leaving: 1``; else it runs them and counts them in
+        `runs_after_leaving`.
     delay_s : float
-        Seconds before an answer, after the run.
+        Delay between the run and the response, in seconds.
     close_after_read : float
-        Requests that run and whose connection is closed without an answer:
-        a whole number counts down, a fraction below 1 is a probability.
+        Requests after whose run the connection is closed without a response.
+        A value of 1 or more counts down, one below 1 is a probability.
     close_idle : bool
-        Whether a connection is closed soon after each answer, without a
-        ``Connection: close`` header, unless the next request is there.
+        Whether a connection is closed shortly after each response, without a
+        ``Connection: close`` header, unless another request has arrived.
     refuse_connects : bool
-        Whether the port is closed; use ``--control-port`` to open it again.
+        Whether the port is closed; only the control port can reopen it.
     keep_working : bool
-        Whether a run goes on when its caller disconnects.
+        Whether a run continues when its caller disconnects.
     fail : bool
-        Whether every run ends with status 500.
+        Whether every request gets status 500.
     """
 
     leaving: bool = False
@@ -63,48 +64,48 @@
     Attributes
     ----------
     state : State
-        The runner.
-    switches : Switches
-        The faults in force.
+        State of the runner.
+    faults : RunnerFaults
+        Active faults.
     rng : Random
-        Draws which connections are closed.
-    served : Served or None
-        Its server.
+        Decides which connections are closed.
+    standin : Standin or None
+        Its running server.
     listening : bool
-        Whether its port is open.
-    last_requests : WeakKeyDictionary
-        Mark of the last request of each connection.
+        Whether its port accepts connections.
+    last_disconnect_events : WeakKeyDictionary
+        Disconnect event of the last request on each connection.
     """
 
     state: _state.State
-    switches: Switches = attrs.Factory(Switches)
+    faults: RunnerFaults = attrs.Factory(RunnerFaults)
     rng: random.Random = attrs.Factory(lambda: random.Random(0))
-    served: _serving.Served | None = None
+    standin: _serving.Standin | None = None
     listening: bool = True
-    last_requests: weakref.WeakKeyDictionary = attrs.Factory(
+    last_disconnect_events: weakref.WeakKeyDictionary = attrs.Factory(
         weakref.WeakKeyDictionary
     )
 
 
 class WorkHandler(_serving.Handler):
-    """Requests."""
+    """Handler for requests to the service."""
 
     def initialize(self, endpoint: Endpoint) -> None:
-        """Keep the runner."""
+        """Store the runner."""
         self._endpoint = endpoint
-        self._gone = asyncio.Event()
+        self._disconnected = asyncio.Event()
 
     def on_connection_close(self) -> None:
-        """Note that the caller has disconnected."""
-        self._gone.set()
+        """Record that the caller has disconnected."""
+        self._disconnected.set()
 
     async def post(self) -> None:
-        """Run a request."""
+        """Run a request, subject to the active faults."""
         endpoint, headers = self._endpoint, self.request.headers
-        state, switches = endpoint.state, endpoint.switches
+        state, faults = endpoint.state, endpoint.faults
         stream = self.request.connection.stream
-        endpoint.last_requests[stream] = self._gone
-        if switches.leaving and switches.say_leaving:
+        endpoint.last_disconnect_events[stream] = self._disconnected
+        if faults.leaving and faults.say_leaving:
             state.refused_leaving += 1
             self.set_header(_target_wire.LEAVING_HEADER, "1")
             self.set_header("Connection", "close")
@@ -120,78 +121,81 @@
         except (errors.ProtocolError, ValueError) as error:
             self.reply(400, json.dumps({"error": str(error)}).encode())
             return
-        _state.begin(state, request_id, epoch, payload, time.time())
+        _state.start_request(state, request_id, epoch, payload, time.time())
         finished = False
         try:
             finished = await self._run(payload)
         finally:
-            _state.end(state, finished)
-        if not finished or _draw(switches, endpoint.rng):
+            _state.finish_request(state, finished)
+        if not finished or _draw_close(faults, endpoint.rng):
             self.hang_up()
             return
-        if switches.delay_s:
-            await asyncio.sleep(switches.delay_s)
-        if self._gone.is_set():
+        if faults.delay_s:
+            await asyncio.sleep(faults.delay_s)
+        if self._disconnected.is_set():
             return
-        failed = bool(payload.get("fail", False)) or switches.fail
+        failed = bool(payload.get("fail", False)) or faults.fail
         size = int(payload.get("size", 0))
         self.reply(
             500 if failed else 200,
             _state.make_answer(state, request_id, attempt, size),
         )
-        if switches.close_idle:
+        if faults.close_idle:
             await asyncio.sleep(_CLOSE_DELAY_S)
-            if endpoint.last_requests.get(stream) is self._gone:
+            if (
+                endpoint.last_disconnect_events.get(stream)
+                is self._disconnected
+            ):
                 stream.close()
 
     async def _run(self, payload: dict[str, typing.Any]) -> bool:
         run_s = float(payload.get("run_ms", 0.0)) / 1000.0
-        if self._endpoint.switches.keep_working:
+        if self._endpoint.faults.keep_working:
             if run_s > 0:
                 await asyncio.sleep(run_s)
             return True
         try:
             async with asyncio.timeout(run_s):
-                await self._gone.wait()
+                await self._disconnected.wait()
         except TimeoutError:
             return True
         return False
 
 
-# Seconds from an answer to the close of its connection, so that the answer
-# is read before.
+# Delay from a response to the close of its connection, so that the caller can
+# read the response first.
 _CLOSE_DELAY_S: typing.Final[float] = 0.01
 
 
 class StatusHandler(_serving.Handler):
-    """Slots in use."""
+    """Handler for status requests."""
 
     def initialize(self, endpoint: Endpoint) -> None:
-        """Keep the runner."""
+        """Store the runner."""
         self._endpoint = endpoint
 
     def get(self) -> None:
-        """Return the slots in use."""
+        """Return the number of slots and how many are in use."""
         state = self._endpoint.state
         self.reply(200, _target_wire.encode_status(state.slots, state.busy))
 
 
 def control(endpoint: Endpoint, fields: dict[str, typing.Any]) -> None:
-    """Set faults.
+    """Set faults of the runner.
 
     Parameters
     ----------
     endpoint : Endpoint
         The runner.
     fields : dict
-        Fields of `Switches`, and the commands ``close_connections`` (all
-        open ones, at once) and ``reset`` (lifts all faults).
+        Fields of `RunnerFaults`, and the commands ``close_connections``
+        (closes all open connections) and ``reset`` (clears all faults).
     """
     changes = dict(fields)
     if changes.pop("reset", False):
-        endpoint.switches = Switches()
+        endpoint.faults = RunnerFaults()
     close_connections = changes.pop("close_connections", False)
-    known = {field.name for field in attrs.fields(Switches)}
+    known = {field.name for field in attrs.fields(RunnerFaults)}
     unknown = sorted(set(changes) - known)
     if unknown:
         raise errors.ProtocolError(
@@ -199,39 +203,39 @@
             remedy=f"Use some of: {', '.join(sorted(known))}.",
         )
     for name, value in changes.items():
-        setattr(endpoint.switches, name, value)
-    if not endpoint.switches.leaving:
+        setattr(endpoint.faults, name, value)
+    if not endpoint.faults.leaving:
         endpoint.state.leaving_since = 0.0
     elif not endpoint.state.leaving_since:
         endpoint.state.leaving_since = time.time()
-    _set_listening(endpoint, not endpoint.switches.refuse_connects)
+    _set_listening(endpoint, not endpoint.faults.refuse_connects)
     if close_connections:
-        for stream in list(endpoint.served.server.open_streams):
+        for stream in list(endpoint.standin.server.open_streams):
             stream.close()
 
 
 def evidence(
     endpoint: Endpoint, query: dict[str, str]
 ) -> dict[str, typing.Any]:
-    """Return the runner's evidence; ``ids`` in the query adds all ids."""
+    """Return the observations; ``ids`` in the query adds request ids."""
     return {
         **_state.evidence(
             endpoint.state,
-            len(endpoint.served.server.open_streams),
+            len(endpoint.standin.server.open_streams),
             with_ids="ids" in query,
         ),
-        "switches": endpoint.switches,
+        "switches": endpoint.faults,
     }
 
 
 def make_endpoint(runner_id: str) -> Endpoint:
-    """Return a runner."""
+    """Return a runner without faults."""
     return Endpoint(state=_state.State(runner_id=runner_id))
 
 
-def listen(*, port: int, endpoint: Endpoint) -> _serving.Served:
+def listen(*, port: int, endpoint: Endpoint) -> _serving.Standin:
     """Serve a runner on a loopback port; 0 picks a free one."""
-    served = _serving.listen(
+    standin = _serving.listen(
         name=endpoint.state.runner_id,
         port=port,
         routes=[
@@ -241,23 +245,25 @@
         control=lambda fields: control(endpoint, fields),
         evidence=lambda query: evidence(endpoint, query),
     )
-    endpoint.served = served
-    served.server.on_open = lambda: _state.connected(
-        endpoint.state, len(served.server.open_streams)
+    endpoint.standin = standin
+    standin.server.on_open = lambda: _state.record_connections(
+        endpoint.state, len(standin.server.open_streams)
     )
-    return served
+    return standin
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in process."""
     parser = _serving.make_parser("Stand-in for runners on consecutive ports.")
     parser.add_argument("--count", type=int, default=1)
     parser.add_argument(
-        "--first-id", default="runner-1", help="<name>-<number> of the first"
+        "--first-id",
+        default="runner-1",
+        help="id of the first runner, <name>-<number>",
     )
     arguments = parser.parse_args()
 
-    def start() -> list[_serving.Served]:
+    def start() -> list[_serving.Standin]:
         return [
             listen(
                 port=arguments.port and arguments.port + offset,
@@ -271,13 +277,12 @@
     _serving.run(arguments.control_port, start)
 
 
-def _draw(switches: Switches, rng: random.Random) -> bool:
-    if switches.close_after_read >= 1:
-        switches.close_after_read -= 1
+def _draw_close(faults: RunnerFaults, rng: random.Random) -> bool:
+    if faults.close_after_read >= 1:
+        faults.close_after_read -= 1
         return True
     return (
-        switches.close_after_read > 0
-        and rng.random() < switches.close_after_read
+        faults.close_after_read > 0 and rng.random() < faults.close_after_read
     )
 
 
@@ -285,10 +290,10 @@
     if listening == endpoint.listening:
         return
     endpoint.listening = listening
-    server = endpoint.served.server
+    server = endpoint.standin.server
     if listening:
         server.add_sockets(
-            netutil.bind_sockets(endpoint.served.port, _serving.HOST)
+            netutil.bind_sockets(endpoint.standin.port, _serving.HOST)
         )
     else:
         server.stop()
--- a/standins/runner/_state.py
+++ b/standins/runner/_state.py
@@ -1,4 +1,4 @@
-"""A runner's state: its slots and the evidence of what it was asked."""
+"""State of a runner: its slots and the requests it has observed."""
 
 import collections
 import collections.abc
@@ -14,42 +14,43 @@
 
 @attrs.define(kw_only=True)
 class State:
-    """One runner.
+    """State of one runner.
 
     Attributes
     ----------
     runner_id : str
-        Its instance id.
+        Instance id of the runner.
     slots : int
-        Requests that it may run at once.
+        Limit on concurrent requests.
     connections : int
-        Connections that it may have open.
+        Limit on open connections.
     busy : int
-        Requests at work.
+        Requests in progress.
     peak_busy, peak_connections : int
-        Highest numbers so far.
+        Highest number of concurrent requests and open connections so far.
     slot_overruns, connection_overruns : int
-        Requests and connections above the limits.
+        Number of requests and connections above the limits.
     runs : int
-        Requests that began to run.
+        Number of requests started.
     finished : int
-        Requests that ran to their end.
+        Number of requests that ran to completion.
     seen : Counter
-        Requests that began to run, by id.
-    once : set of str
-        Ids whose payload says ``"idempotent": false``.
+        Number of runs by request id.
+    non_idempotent_ids : set of str
+        Ids of requests with ``"idempotent": false`` in the payload.
     leaving_since : float
-        Time of the leaving mark, in time.time(); 0 without one.
+        Time at which the runner was marked as leaving, in time.time(); 0 if
+        it is not.
     runs_after_leaving : int
-        Requests that began to run after the mark.
+        Number of requests started while marked as leaving.
     refused_leaving : int
-        Requests that were refused because of the mark.
+        Number of requests refused because the runner is leaving.
     last_new_request : float
-        Time at which the last request began to run, in time.time().
+        Start time of the last request, in time.time().
     epochs : set of int
-        Epochs that the requests carried.
+        Epochs seen in requests.
     stale_runs : int
-        Requests that began to run with a lower epoch than one before them; a
+        Number of requests started with a lower epoch than an earlier one. A
         target belongs to one shard, so a former owner has sent them.
     """
 
@@ -64,7 +65,7 @@
     runs: int = 0
     finished: int = 0
     seen: collections.Counter[str] = attrs.Factory(collections.Counter)
-    once: set[str] = attrs.Factory(set)
+    non_idempotent_ids: set[str] = attrs.Factory(set)
     leaving_since: float = 0.0
     runs_after_leaving: int = 0
     refused_leaving: int = 0
@@ -73,14 +74,14 @@
     stale_runs: int = 0
 
 
-def begin(
+def start_request(
     state: State,
     request_id: str,
     epoch: int,
     payload: dict[str, typing.Any],
-    wall: float,
+    wall_time_s: float,
 ) -> None:
-    """Take a slot for a request; one above the limit runs all the same."""
+    """Take a slot for a request; requests above the limit run as well."""
     state.busy += 1
     state.runs += 1
     state.peak_busy = max(state.peak_busy, state.busy)
@@ -88,23 +89,23 @@
         state.slot_overruns += 1
     state.seen[request_id] += 1
     if payload.get("idempotent") is False:
-        state.once.add(request_id)
+        state.non_idempotent_ids.add(request_id)
     if state.epochs and epoch < max(state.epochs):
         state.stale_runs += 1
     state.epochs.add(epoch)
-    state.last_new_request = wall
+    state.last_new_request = wall_time_s
     if state.leaving_since:
         state.runs_after_leaving += 1
 
 
-def end(state: State, finished: bool) -> None:
-    """Free the slot of a request."""
+def finish_request(state: State, finished: bool) -> None:
+    """Release the slot of a request."""
     state.busy -= 1
     state.finished += finished
 
 
-def connected(state: State, open_connections: int) -> None:
-    """Note the number of open connections after a new one."""
+def record_connections(state: State, open_connections: int) -> None:
+    """Record the number of open connections after a new one."""
     state.peak_connections = max(state.peak_connections, open_connections)
     if open_connections > state.connections:
         state.connection_overruns += 1
@@ -113,10 +114,10 @@
 def make_answer(
     state: State, request_id: str, attempt: int, size: int
 ) -> bytes:
-    """Return the body of an answer with `size` bytes that follow from the id.
+    """Return a response body with `size` bytes derived from the request id.
 
-    `check_answer` finds an answer that belongs to another request and one
-    that is not complete.
+    `check_answer` detects a response to another request and an incomplete
+    one.
     """
     content = _make_content(request_id, size)
     return json.dumps(
@@ -132,21 +133,21 @@
 
 
 def check_answer(body: bytes, request_id: str, size: int) -> str:
-    """Return what is wrong with an answer; empty when it is whole.
+    """Return the fault of a response, or an empty string if it is intact.
 
     Parameters
     ----------
     body : bytes
-        Body of the answer.
+        Body of the response.
     request_id : str
-        Id of the request that it should answer.
+        Id of the request.
     size : int
-        Size that the request asked for.
+        Content size that was requested.
     """
     try:
         fields = json.loads(body)
         if fields["request_id"] != request_id:
-            return f"it answers {fields['request_id']}"
+            return f"it is the response to {fields['request_id']}"
         content = fields["content"]
         if fields["size"] != size or content != _make_content(
             request_id, size
@@ -162,7 +163,7 @@
 def evidence(
     state: State, open_connections: int, *, with_ids: bool
 ) -> dict[str, typing.Any]:
-    """Return counts, overruns and repeated ids."""
+    """Return counts, overruns and repeated request ids."""
     repeated = {name: n for name, n in state.seen.items() if n > 1}
     return {
         "runner_id": state.runner_id,
@@ -177,7 +178,9 @@
         "finished": state.finished,
         "repeated": repeated,
         "doubled": {
-            name: n for name, n in repeated.items() if name in state.once
+            name: n
+            for name, n in repeated.items()
+            if name in state.non_idempotent_ids
         },
         "leaving_since": state.leaving_since,
         "runs_after_leaving": state.runs_after_leaving,
@@ -185,37 +188,41 @@
         "last_new_request": state.last_new_request,
         "epochs": sorted(state.epochs),
         "stale_runs": state.stale_runs,
-        **_ids(state, with_ids),
+        **_list_ids(state, with_ids),
     }
 
 
 def find_doubled_requests(
-    evidences: collections.abc.Iterable[dict[str, typing.Any]],
+    runner_evidence: collections.abc.Iterable[dict[str, typing.Any]],
 ) -> dict[str, int]:
-    """Return the non-idempotent ids that ran more than once anywhere.
+    """Return non-idempotent requests that ran more than once on any runners.
 
     Parameters
     ----------
-    evidences : iterable of dict
-        Answers of ``GET /control?ids=1`` of all runners.
+    runner_evidence : iterable of dict
+        Responses of all runners to ``GET /control?ids=1``.
 
     Returns
     -------
     dict of str to int
-        Number of runs of each such id.
+        Number of runs of each such request id.
     """
     runs: collections.Counter[str] = collections.Counter()
-    once: set[str] = set()
-    for item in evidences:
+    non_idempotent_ids: set[str] = set()
+    for item in runner_evidence:
         runs.update(item["seen"])
-        once.update(item["once"])
-    return {name: runs[name] for name in sorted(once) if runs[name] > 1}
+        non_idempotent_ids.update(item["once"])
+    return {
+        name: runs[name]
+        for name in sorted(non_idempotent_ids)
+        if runs[name] > 1
+    }
 
 
-def _ids(state: State, with_ids: bool) -> dict[str, typing.Any]:
+def _list_ids(state: State, with_ids: bool) -> dict[str, typing.Any]:
     if not with_ids:
         return {}
-    return {"seen": dict(state.seen), "once": sorted(state.once)}
+    return {"seen": dict(state.seen), "once": sorted(state.non_idempotent_ids)}
 
 
 def _make_content(request_id: str, size: int) -> str:
--- a/standins/store/__init__.py
+++ b/standins/store/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's key-value store."""
+"""Stand-in for the platform's key-value store, with injectable faults."""
 
 from standins.store import _calls
 from standins.store import _memory
--- a/standins/store/__main__.py
+++ b/standins/store/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the stand-in."""
+"""Entry point of the stand-in process."""
 
 from standins import store
 
--- a/standins/store/_calls.py
+++ b/standins/store/_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the store's state with faults, counts and waiting watches."""
+"""Calls to the store's state, with faults, call counts and watches."""
 
 import asyncio
 import collections
@@ -11,7 +11,7 @@
 from standins import _faults
 from standins.store import _state
 
-# Kinds whose answers are lost when `drop_answers` names no kinds.
+# Kinds of calls whose responses `drop_answers` drops by default.
 _DROPPED_KINDS: typing.Final[tuple[str, ...]] = ("write", "delete")
 
 Clock: typing.TypeAlias = collections.abc.Callable[[], float]
@@ -19,7 +19,7 @@
 
 @attrs.define(kw_only=True)
 class Endpoint:
-    """A store's state with its faults and counts.
+    """A store's state with its faults and call counts.
 
     Attributes
     ----------
@@ -28,25 +28,25 @@
     clock : function
         Returns the time in seconds.
     rng : Random
-        Draws which answers are lost.
+        Decides which responses are dropped.
     faults : Faults
-        The faults for every client.
+        Active faults for all clients.
     client_faults : dict of str to Faults
-        The faults for single clients, in addition.
+        Additional faults by client id.
     counts : Counter
-        Calls by kind.
+        Number of calls by kind.
     client_counts : dict of str to Counter
-        Calls by client and kind.
+        Number of calls by client and kind.
     failures : Counter
-        Calls that were refused, held or whose answer was lost.
+        Number of calls that were refused, held or lost their response.
     waiting : int
-        Watches that are waiting.
+        Number of waiting watches.
     bytes_in, bytes_out : int
-        Bytes of requests and answers, with their headers.
-    watch_step_s : float
-        Longest sleep of a waiting watch in seconds. A given clock that jumps
-        over the end of a lease or of a wait is noticed after that.
-    lifted : Event
+        Bytes of requests and responses, including headers.
+    watch_poll_s : float
+        Longest sleep of a waiting watch in seconds. A jump of `clock` past a
+        lease's expiry or a wait's deadline is noticed after this time.
+    faults_changed : Event
         Set and replaced when the faults change.
     """
 
@@ -63,28 +63,28 @@
     waiting: int = 0
     bytes_in: int = 0
     bytes_out: int = 0
-    watch_step_s: float = 0.02
-    lifted: asyncio.Event = attrs.Factory(asyncio.Event)
+    watch_poll_s: float = 0.02
+    faults_changed: asyncio.Event = attrs.Factory(asyncio.Event)
 
 
-class Refused(Exception):
-    """The store is down for this call."""
+class RequestRefusedError(Exception):
+    """The store refused the call."""
 
 
-class Lost(Exception):
-    """The call gets no answer."""
+class ResponseLostError(Exception):
+    """The call gets no response."""
 
 
 def control(endpoint: Endpoint, fields: dict[str, typing.Any]) -> None:
-    """Set faults.
+    """Set faults of the store.
 
     Parameters
     ----------
     endpoint : Endpoint
         The store.
     fields : dict
-        Fields of `Faults`. ``for_client`` (an id or a list of them) limits
-        them to clients; ``reset`` first lifts all faults.
+        Fields of `Faults`. ``for_client`` (an id or a list of ids) limits
+        them to these clients; ``reset`` first clears all faults.
     """
     changes = dict(fields)
     if changes.pop("reset", False):
@@ -101,14 +101,14 @@
                 ),
                 changes,
             )
-    endpoint.lifted.set()
-    endpoint.lifted = asyncio.Event()
+    endpoint.faults_changed.set()
+    endpoint.faults_changed = asyncio.Event()
     for listener in list(endpoint.state.listeners):
         listener()
 
 
 def evidence(endpoint: Endpoint) -> dict[str, typing.Any]:
-    """Return counts of calls and bytes, and the faults in force."""
+    """Return counts of calls and bytes, and the active faults."""
     _state.expire(endpoint.state, endpoint.clock())
     return {
         "counts": dict(endpoint.counts),
@@ -132,7 +132,7 @@
 async def call(
     endpoint: Endpoint, client: str, kind: str, fields: dict[str, typing.Any]
 ) -> dict[str, typing.Any]:
-    """Carry out a call under the faults in force.
+    """Execute a call, subject to the active faults.
 
     Parameters
     ----------
@@ -148,54 +148,57 @@
     Returns
     -------
     dict
-        Fields of the answer.
+        Fields of the response.
 
     Raises
     ------
-    Refused
-        The store is down for this call; it had no effect.
-    Lost
-        The answer is lost; the call may have had an effect.
+    RequestRefusedError
+        The store refused the call, which had no effect.
+    ResponseLostError
+        The response is lost; the call may have taken effect.
     SchedulerError
         See `_state.call`.
     """
     endpoint.counts[kind] += 1
     endpoint.client_counts.setdefault(client, collections.Counter())[kind] += 1
     key = str(fields.get("key", fields.get("prefix", "")))
-    verdict = _judge(endpoint, client, kind, key)
-    if verdict.hold:
-        await _hold(endpoint, client, key)
-    if verdict.delay_s:
-        await asyncio.sleep(verdict.delay_s)
-    if verdict.refuse:
+    call_faults = _draw_call_faults(endpoint, client, kind, key)
+    if call_faults.block:
+        await _block_until_lifted(endpoint, client, key)
+    if call_faults.delay_s:
+        await asyncio.sleep(call_faults.delay_s)
+    if call_faults.refuse:
         endpoint.failures["refused"] += 1
-        raise Refused
+        raise RequestRefusedError
     if kind == "watch":
         return await _watch(endpoint, client, fields)
     try:
         return _state.call(endpoint.state, kind, fields, endpoint.clock())
     finally:
-        if verdict.drop:
+        if call_faults.drop_response:
             endpoint.failures["dropped"] += 1
-            raise Lost
+            raise ResponseLostError
 
 
-def _judge(
+def _draw_call_faults(
     endpoint: Endpoint, client: str, kind: str, key: str
-) -> _faults.Verdict:
-    every = [endpoint.faults]
+) -> _faults.CallFaults:
+    applicable = [endpoint.faults]
     if client in endpoint.client_faults:
-        every.append(endpoint.client_faults[client])
-    return _faults.join(
-        _faults.judge(faults, kind, key, endpoint.rng) for faults in every
+        applicable.append(endpoint.client_faults[client])
+    return _faults.merge(
+        _faults.draw_call_faults(faults, kind, key, endpoint.rng)
+        for faults in applicable
     )
 
 
-async def _hold(endpoint: Endpoint, client: str, key: str) -> typing.NoReturn:
+async def _block_until_lifted(
+    endpoint: Endpoint, client: str, key: str
+) -> typing.NoReturn:
     endpoint.failures["held"] += 1
-    while _judge(endpoint, client, "", key).hold:
-        await endpoint.lifted.wait()
-    raise Lost
+    while _draw_call_faults(endpoint, client, "", key).block:
+        await endpoint.faults_changed.wait()
+    raise ResponseLostError
 
 
 async def _watch(
@@ -214,16 +217,18 @@
             now = endpoint.clock()
             if answer["entries"] or now >= deadline:
                 return answer
-            verdict = _judge(endpoint, client, "", fields["prefix"])
-            if verdict.hold:
-                await _hold(endpoint, client, fields["prefix"])
-            if verdict.refuse:
+            call_faults = _draw_call_faults(
+                endpoint, client, "", fields["prefix"]
+            )
+            if call_faults.block:
+                await _block_until_lifted(endpoint, client, fields["prefix"])
+            if call_faults.refuse:
                 endpoint.failures["refused"] += 1
-                raise Refused
+                raise RequestRefusedError
             expiry = _state.next_expiry(endpoint.state) or deadline
-            step_s = min(deadline - now, expiry - now, endpoint.watch_step_s)
+            sleep_s = min(deadline - now, expiry - now, endpoint.watch_poll_s)
             try:
-                async with asyncio.timeout(step_s):
+                async with asyncio.timeout(sleep_s):
                     await changed.wait()
             except TimeoutError:
                 continue
--- a/standins/store/_memory.py
+++ b/standins/store/_memory.py
@@ -1,4 +1,4 @@
-"""The store's port without HTTP."""
+"""In-process implementation of the store port, without HTTP."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 
 
 def make_endpoint(state: _state.State, clock: _calls.Clock) -> _calls.Endpoint:
-    """Return a store's state with faults and counts of its own."""
+    """Return an endpoint for a state, with its own faults and counts."""
     return _calls.Endpoint(state=state, clock=clock, rng=random.Random(0))
 
 
@@ -23,7 +23,7 @@
     timeout_s: float | None = None,
     endpoint: _calls.Endpoint | None = None,
 ) -> platform.Store:
-    """Return the port of a store in this process.
+    """Return the port of an in-process store.
 
     Parameters
     ----------
@@ -32,20 +32,20 @@
     clock : function
         Returns the time in seconds, for leases and watches.
     client_id : str
-        Id of the client, for faults of single clients.
+        Id of the client, to which faults can be limited.
     timeout_s : float, optional
-        Limit of a call that the faults hold, in seconds of the event loop; a
-        watch has its wait in addition. None for no limit.
+        Time limit of a call in seconds of the event loop, to which a watch
+        adds its wait. None for no limit.
     endpoint : Endpoint, optional
-        Faults and counts to share, from `make_endpoint`; it replaces `state`
-        and `clock`.
+        Endpoint from `make_endpoint` with shared faults and counts, used
+        instead of `state` and `clock`.
 
     Returns
     -------
     Store
         The functions of the port.
     """
-    used = endpoint or make_endpoint(state, clock)
+    served_endpoint = endpoint or make_endpoint(state, clock)
 
     async def call(kind: str, **fields: typing.Any) -> dict[str, typing.Any]:
         limit_s = timeout_s
@@ -53,8 +53,14 @@
             limit_s += fields.get("wait_s", 0.0)
         try:
             async with asyncio.timeout(limit_s):
-                return await _calls.call(used, client_id, kind, fields)
-        except (_calls.Refused, _calls.Lost, TimeoutError) as error:
+                return await _calls.call(
+                    served_endpoint, client_id, kind, fields
+                )
+        except (
+            _calls.RequestRefusedError,
+            _calls.ResponseLostError,
+            TimeoutError,
+        ) as error:
             raise _store_wire.unavailable(type(error).__name__) from error
 
     async def get(key: str) -> platform.Entry | None:
--- a/standins/store/_server.py
+++ b/standins/store/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of the store."""
+"""HTTP server of the store stand-in."""
 
 import time
 import typing
@@ -8,21 +8,21 @@
 from standins import _serving
 from standins.store import _calls
 
-# The server's clock is a real one, so its watches sleep until the next lease
-# ends.
-_WATCH_STEP_S: typing.Final[float] = 60.0
+# The server uses the real clock, so its watches can sleep until the next lease
+# expires.
+_WATCH_POLL_S: typing.Final[float] = 60.0
 
 
 class CallHandler(_serving.Handler):
-    """One kind of call."""
+    """Handler for one kind of call."""
 
     def initialize(self, endpoint: _calls.Endpoint, kind: str) -> None:
-        """Keep the store and the kind of call."""
+        """Store the endpoint and the kind of call."""
         self._endpoint = endpoint
         self._kind = kind
 
     async def post(self) -> None:
-        """Carry the call out."""
+        """Execute the call."""
         endpoint = self._endpoint
         client = self.request.headers.get(_store_wire.CLIENT_HEADER, "")
         endpoint.bytes_in += len(self.request.body) + _header_bytes(
@@ -35,10 +35,10 @@
                 self._kind,
                 _store_wire.decode(self.request.body),
             )
-        except _calls.Lost:
+        except _calls.ResponseLostError:
             self.hang_up()
             return
-        except _calls.Refused:
+        except _calls.RequestRefusedError:
             status, body = _store_wire.encode_error(
                 _store_wire.unavailable("down")
             )
@@ -56,31 +56,31 @@
 
 def listen(
     *, port: int, endpoint: _calls.Endpoint | None = None
-) -> _serving.Served:
+) -> _serving.Standin:
     """Serve a store on a loopback port; 0 picks a free one."""
-    used = endpoint or _calls.Endpoint(
-        clock=time.monotonic, watch_step_s=_WATCH_STEP_S
+    served_endpoint = endpoint or _calls.Endpoint(
+        clock=time.monotonic, watch_poll_s=_WATCH_POLL_S
     )
     return _serving.listen(
         name="store",
         port=port,
         routes=[
-            (path, CallHandler, {"endpoint": used, "kind": kind})
+            (path, CallHandler, {"endpoint": served_endpoint, "kind": kind})
             for kind, path in _store_wire.PATHS.items()
         ],
-        control=lambda fields: _calls.control(used, fields),
-        evidence=lambda _query: _calls.evidence(used),
+        control=lambda fields: _calls.control(served_endpoint, fields),
+        evidence=lambda _query: _calls.evidence(served_endpoint),
     )
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in process."""
     parser = _serving.make_parser("Stand-in for the key-value store.")
     arguments = parser.parse_args()
     _serving.run(arguments.control_port, lambda: [listen(port=arguments.port)])
 
 
 def _header_bytes(headers: object) -> int:
-    # Each header line has ": " and a line end; the start line has about 30
-    # bytes.
+    # Each header line adds 4 bytes for ": " and CRLF; the start line has about
+    # 30 bytes.
     return 30 + sum(len(name) + len(value) + 4 for name, value in headers)
--- a/standins/store/_state.py
+++ b/standins/store/_state.py
@@ -1,7 +1,7 @@
-"""The store's state: keys, revisions, leases and changes.
+"""State of the store: keys, revisions, leases and changes.
 
-A pure part: the time is an argument, and the answer to a call follows from
-the state, the call and the time.
+The functions do no I/O. The response to a call depends only on the state, the
+call and the time, which is an argument.
 """
 
 import collections
@@ -15,10 +15,10 @@
 from chestnuttide import platform
 from chestnuttide.platform import _store_wire
 
-# Largest value of the platform's store, in bytes.
+# Largest value that the platform's store accepts.
 MAX_VALUE_BYTES: typing.Final[int] = 1_000_000
 
-# Deleted keys that a watch can still report; older ones are forgotten.
+# Number of deletions kept for watches; older ones are dropped.
 MAX_TOMBSTONES: typing.Final[int] = 100_000
 
 Fields: typing.TypeAlias = dict[str, typing.Any]
@@ -31,42 +31,42 @@
     Attributes
     ----------
     ttl_s : float
-        Seconds from a renewal to the expiry.
-    expires : float
-        Time of the expiry.
+        Time from a renewal to the expiry, in seconds.
+    expires_at_s : float
+        Time at which it expires.
     keys : set of str
-        Keys that are deleted with the lease.
+        Keys that are deleted when the lease ends.
     """
 
     ttl_s: float
-    expires: float
+    expires_at_s: float
     keys: set[str] = attrs.Factory(set)
 
 
 @attrs.define(kw_only=True)
 class State:
-    """The whole store.
+    """State of the whole store.
 
     Attributes
     ----------
     revision : int
-        Number of the last change.
+        Revision of the last change.
     entries : SortedDict of str to Entry
-        The live keys.
+        Entries of the present keys.
     leases : dict of int to Lease
-        The live leases.
+        Leases in force, by id.
     key_leases : dict of str to int
-        Lease of each attached key.
+        Lease id of each key that is attached to a lease.
     next_lease_id : int
         Id of the next lease.
     changes : SortedDict of int to Entry
-        Last change of each key by revision; a deleted key has no value.
-    changed_at : dict of str to int
-        Revision of each key in `changes`.
+        Last change of each key, by revision; a deletion has no value.
+    last_revisions : dict of str to int
+        Revision of the last change of each key in `changes`.
     tombstones : deque of int
         Revisions of deletions, oldest first.
     listeners : list of functions
-        Called after each change.
+        Functions called after each change.
     """
 
     revision: int = 0
@@ -79,64 +79,65 @@
     changes: sortedcontainers.SortedDict = attrs.Factory(
         sortedcontainers.SortedDict
     )
-    changed_at: dict[str, int] = attrs.Factory(dict)
+    last_revisions: dict[str, int] = attrs.Factory(dict)
     tombstones: collections.deque[int] = attrs.Factory(collections.deque)
     listeners: list[collections.abc.Callable[[], None]] = attrs.Factory(list)
 
 
 def expire(state: State, now: float) -> None:
-    """Delete the keys of the leases that have expired."""
+    """Remove expired leases and delete their keys."""
     due = sorted(
-        (lease.expires, lease_id)
+        (lease.expires_at_s, lease_id)
         for lease_id, lease in state.leases.items()
-        if lease.expires <= now
+        if lease.expires_at_s <= now
     )
     for _expires, lease_id in due:
-        _end_lease(state, lease_id)
+        _remove_lease(state, lease_id)
 
 
 def next_expiry(state: State) -> float | None:
-    """Return the time of the next expiry of a lease, if there is any."""
+    """Return the time of the next lease expiry, or None."""
     return min(
-        (lease.expires for lease in state.leases.values()), default=None
+        (lease.expires_at_s for lease in state.leases.values()), default=None
     )
 
 
 def call(state: State, kind: str, fields: Fields, now: float) -> Fields:
-    """Carry out a call and return its answer.
+    """Execute a call and return the response.
 
     Parameters
     ----------
     state : State
-        The store, which is changed.
+        State of the store, which is modified.
     kind : str
         Key of `_store_wire.PATHS`.
     fields : dict
-        The fields of the request.
+        Fields of the request.
     now : float
         Time in seconds.
 
     Returns
     -------
     dict
-        The fields of the answer. A watch answers with the changes so far.
+        Fields of the response. A watch returns the changes so far and does
+        not wait.
 
     Raises
     ------
     RevisionConflictError, LeaseExpiredError
-        See the port.
+        See `platform.Store`.
     ProtocolError
-        A field is missing or has a value that the store does not take.
+        A field is missing or has a value that the store does not accept.
     """
     expire(state, now)
     try:
         return _CALLS[kind](state, fields, now)
     except KeyError as error:
-        raise _invalid(f"{kind} lacks {error}") from error
+        raise _invalid(f"{kind} lacks field {error}") from error
 
 
 def changes_after(state: State, prefix: str, after: int) -> Fields:
-    """Return the last change of each key below a prefix after a revision."""
+    """Return the last change of each key with a prefix after a revision."""
     return {
         "revision": state.revision,
         "entries": [
@@ -168,11 +169,13 @@
     key, lease_id = fields["key"], fields["lease_id"]
     value = fields["value"]
     if not isinstance(value, bytes) or len(value) > MAX_VALUE_BYTES:
-        raise _invalid(f"the value of {key} is not 0 to 1 MB of bytes")
+        raise _invalid(
+            f"the value of {key} is not a byte string of at most 1 MB"
+        )
     if lease_id and lease_id not in state.leases:
         raise _store_wire.lease_expired()
     _check_revision(state, key, fields["expected_revision"])
-    _detach(state, key)
+    _detach_from_lease(state, key)
     if lease_id:
         state.leases[lease_id].keys.add(key)
         state.key_leases[key] = lease_id
@@ -183,7 +186,7 @@
         write_id=fields["write_id"],
     )
     state.entries[key] = entry
-    _record(state, entry)
+    _record_change(state, entry)
     return {"revision": entry.revision}
 
 
@@ -191,17 +194,17 @@
     key = fields["key"]
     _check_revision(state, key, fields["expected_revision"])
     if key in state.entries:
-        _remove(state, key)
+        _remove_key(state, key)
     return {}
 
 
 def _grant(state: State, fields: Fields, now: float) -> Fields:
     ttl_s = fields["ttl_s"]
     if not ttl_s > 0:
-        raise _invalid("ttl_s is not above 0")
+        raise _invalid("ttl_s is not greater than 0")
     lease_id = state.next_lease_id
     state.next_lease_id += 1
-    state.leases[lease_id] = Lease(ttl_s=ttl_s, expires=now + ttl_s)
+    state.leases[lease_id] = Lease(ttl_s=ttl_s, expires_at_s=now + ttl_s)
     return {"lease_id": lease_id}
 
 
@@ -209,13 +212,13 @@
     lease = state.leases.get(fields["lease_id"])
     if lease is None:
         raise _store_wire.lease_expired()
-    lease.expires = now + lease.ttl_s
+    lease.expires_at_s = now + lease.ttl_s
     return {"lease_id": fields["lease_id"]}
 
 
 def _revoke(state: State, fields: Fields, _now: float) -> Fields:
     if fields["lease_id"] in state.leases:
-        _end_lease(state, fields["lease_id"])
+        _remove_lease(state, fields["lease_id"])
     return {"lease_id": fields["lease_id"]}
 
 
@@ -243,16 +246,16 @@
         raise _store_wire.revision_conflict()
 
 
-def _end_lease(state: State, lease_id: int) -> None:
+def _remove_lease(state: State, lease_id: int) -> None:
     for key in sorted(state.leases.pop(lease_id).keys):
-        _remove(state, key)
+        _remove_key(state, key)
 
 
-def _remove(state: State, key: str) -> None:
-    _detach(state, key)
+def _remove_key(state: State, key: str) -> None:
+    _detach_from_lease(state, key)
     removed = state.entries.pop(key)
     state.tombstones.append(state.revision + 1)
-    _record(
+    _record_change(
         state,
         platform.Entry(
             key=key,
@@ -262,29 +265,29 @@
         ),
     )
     if len(state.tombstones) > MAX_TOMBSTONES:
-        oldest = state.tombstones.popleft()
-        forgotten = state.changes.pop(oldest, None)
-        if forgotten is not None:
-            del state.changed_at[forgotten.key]
+        oldest_revision = state.tombstones.popleft()
+        evicted = state.changes.pop(oldest_revision, None)
+        if evicted is not None:
+            del state.last_revisions[evicted.key]
 
 
-def _detach(state: State, key: str) -> None:
+def _detach_from_lease(state: State, key: str) -> None:
     lease_id = state.key_leases.pop(key, 0)
     if lease_id in state.leases:
         state.leases[lease_id].keys.discard(key)
 
 
-def _record(state: State, entry: platform.Entry) -> None:
+def _record_change(state: State, entry: platform.Entry) -> None:
     state.revision = entry.revision
-    state.changes.pop(state.changed_at.get(entry.key), None)
+    state.changes.pop(state.last_revisions.get(entry.key), None)
     state.changes[entry.revision] = entry
-    state.changed_at[entry.key] = entry.revision
+    state.last_revisions[entry.key] = entry.revision
     for listener in list(state.listeners):
         listener()
 
 
 def _invalid(reason: str) -> errors.ProtocolError:
     return errors.ProtocolError(
-        message=f"The store does not take this call: {reason}.",
+        message=f"The store does not accept this call: {reason}.",
         remedy="See the table of the store's calls in docs/design.md.",
     )
--- a/standins/tests/test_harness.py
+++ b/standins/tests/test_harness.py
@@ -8,8 +8,8 @@
 from standins import harness
 
 
-def test_process_life(tmp_path: pathlib.Path) -> None:
-    """A wrong life cycle would make every scenario unreliable."""
+def test_process_lifecycle(tmp_path: pathlib.Path) -> None:
+    """Guards against a harness that starts, pauses or stops wrongly."""
     with harness.running(tmp_path) as processes:
         runners = harness.start_standin(
             processes, "runner", count=2, first_id="casting-5"
@@ -43,8 +43,8 @@
     assert runners.popen.poll() is not None
 
 
-def test_failed_start_shows_reason(tmp_path: pathlib.Path) -> None:
-    """A process that ends at once must not look like a slow one."""
+def test_failed_start_reports_the_reason(tmp_path: pathlib.Path) -> None:
+    """Guards against a failed start that looks like a slow one."""
     with harness.running(tmp_path) as processes:
         with pytest.raises(RuntimeError, match="unrecognized arguments"):
             harness.start_standin(
@@ -52,8 +52,8 @@
             )
 
 
-def test_no_process_survives_the_harness(tmp_path: pathlib.Path) -> None:
-    """A killed test run would leave processes behind."""
+def test_processes_end_with_the_harness(tmp_path: pathlib.Path) -> None:
+    """Guards against processes left behind by a killed test run."""
     script = (
         "import os, signal, sys\n"
         "from standins import harness\n"
@@ -78,4 +78,4 @@
         if stat.split()[2] == "Z":
             return
         time.sleep(0.02)
-    pytest.fail(f"process {pid} is still there: {stat}")
+    pytest.fail(f"process {pid} is still running: {stat}")
--- a/standins/tests/test_runner.py
+++ b/standins/tests/test_runner.py
@@ -15,12 +15,12 @@
 
 
 @contextlib.asynccontextmanager
-async def _opened() -> collections.abc.AsyncIterator[
+async def _open_runner() -> collections.abc.AsyncIterator[
     tuple[runner.Endpoint, collections.abc.Callable[..., typing.Any]]
 ]:
     endpoint = runner.make_endpoint("runner-1")
     served = runner.listen(port=0, endpoint=endpoint)
-    # Without a limit per target, so that a test can overload the runner.
+    # No limit per target, so that a test can overload the runner.
     client = _http.make_client(max_clients=128)
     targets = platform.make_targets(http_client=client, status_client=client)
 
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("requests", "slot_overruns", "connection_overruns"),
     [
-        pytest.param(8, 0, 0, id="full_runner_counts_as_overrun"),
+        pytest.param(8, 0, 0, id="full_runner_counted_as_overrun"),
         pytest.param(9, 1, 0, id="slot_overrun_missed"),
         pytest.param(66, 58, 2, id="connection_overrun_missed"),
     ],
@@ -56,7 +56,7 @@
     requests: int, slot_overruns: int, connection_overruns: int
 ) -> None:
     async def scenario() -> None:
-        async with _opened() as (endpoint, work):
+        async with _open_runner() as (endpoint, work):
             await asyncio.gather(
                 *(work(f"r{n}", run_ms=150) for n in range(requests))
             )
@@ -74,13 +74,13 @@
 @pytest.mark.parametrize(
     ("say_leaving", "runs"),
     [
-        pytest.param(True, 0, id="refusal_counts_as_run"),
-        pytest.param(False, 1, id="run_after_mark_missed"),
+        pytest.param(True, 0, id="refusal_counted_as_run"),
+        pytest.param(False, 1, id="run_while_leaving_missed"),
     ],
 )
 def test_leaving(say_leaving: bool, runs: int) -> None:
     async def scenario() -> None:
-        async with _opened() as (endpoint, work):
+        async with _open_runner() as (endpoint, work):
             await work("before")
             runner.control(
                 endpoint, {"leaving": True, "say_leaving": say_leaving}
@@ -105,7 +105,7 @@
 )
 def test_caller_disconnects(keep_working: bool, finished: int) -> None:
     async def scenario() -> None:
-        async with _opened() as (endpoint, work):
+        async with _open_runner() as (endpoint, work):
             runner.control(endpoint, {"keep_working": keep_working})
             with pytest.raises(errors.PlatformError):
                 await work("a", 0.05, run_ms=150)
@@ -119,16 +119,18 @@
 @pytest.mark.parametrize(
     ("switches", "fails"),
     [
-        pytest.param({"close_after_read": 1}, True, id="connection_kept"),
-        pytest.param({"refuse_connects": True}, True, id="port_stays_open"),
-        pytest.param({"delay_s": 0.5}, True, id="answer_not_delayed"),
-        pytest.param({"close_idle": True}, False, id="answer_cut"),
-        pytest.param({"fail": True}, False, id="failure_not_answered"),
+        pytest.param(
+            {"close_after_read": 1}, True, id="connection_not_closed"
+        ),
+        pytest.param({"refuse_connects": True}, True, id="port_not_closed"),
+        pytest.param({"delay_s": 0.5}, True, id="response_not_delayed"),
+        pytest.param({"close_idle": True}, False, id="response_truncated"),
+        pytest.param({"fail": True}, False, id="failure_without_response"),
     ],
 )
 def test_faults(switches: dict[str, typing.Any], fails: bool) -> None:
     async def scenario() -> None:
-        async with _opened() as (endpoint, work):
+        async with _open_runner() as (endpoint, work):
             runner.control(endpoint, switches)
             if fails:
                 with pytest.raises(errors.PlatformError):
@@ -145,10 +147,10 @@
 
 
 def test_open_connections_are_closed() -> None:
-    """A runner that fails would go on answering on old connections."""
+    """Guards against a failed runner that still answers on old connections."""
 
     async def scenario() -> None:
-        async with _opened() as (endpoint, work):
+        async with _open_runner() as (endpoint, work):
             await work("a")
             runner.control(
                 endpoint, {"refuse_connects": True, "close_connections": True}
@@ -163,12 +165,12 @@
 
 
 def test_doubled_requests() -> None:
-    """A non-idempotent request that ran twice would not be noticed."""
+    """Guards against a non-idempotent request that runs twice undetected."""
 
     async def scenario() -> None:
         evidences = []
         for _ in range(2):
-            async with _opened() as (endpoint, work):
+            async with _open_runner() as (endpoint, work):
                 await work("once", idempotent=False)
                 await work("again")
                 await work("again")
@@ -184,21 +186,29 @@
 
 def _answer(**changes: object) -> bytes:
     state = runner.State(runner_id="runner-1")
-    whole = json.loads(_state.make_answer(state, "a", 1, 20))
-    return json.dumps({**whole, **changes}).encode()
+    fields = json.loads(_state.make_answer(state, "a", 1, 20))
+    return json.dumps({**fields, **changes}).encode()
 
 
 @pytest.mark.parametrize(
-    ("body", "whole"),
+    ("body", "is_intact"),
     [
-        pytest.param(_answer(), True, id="whole_answer_rejected"),
-        pytest.param(_answer(request_id="b"), False, id="foreign_answer"),
-        pytest.param(_answer(content="x" * 20), False, id="foreign_content"),
-        pytest.param(_answer(size=19), False, id="wrong_size"),
-        pytest.param(_answer(checksum="0"), False, id="wrong_checksum"),
-        pytest.param(_answer()[:-5], False, id="cut_answer"),
-        pytest.param(b"[]", False, id="no_answer"),
+        pytest.param(_answer(), True, id="intact_response_rejected"),
+        pytest.param(
+            _answer(request_id="b"),
+            False,
+            id="response_to_other_request_accepted",
+        ),
+        pytest.param(
+            _answer(content="x" * 20), False, id="other_content_accepted"
+        ),
+        pytest.param(_answer(size=19), False, id="wrong_size_accepted"),
+        pytest.param(
+            _answer(checksum="0"), False, id="wrong_checksum_accepted"
+        ),
+        pytest.param(_answer()[:-5], False, id="truncated_response_accepted"),
+        pytest.param(b"[]", False, id="response_without_fields_accepted"),
     ],
 )
-def test_check_answer(body: bytes, whole: bool) -> None:
-    assert (runner.check_answer(body, "a", 20) == "") == whole
+def test_check_answer(body: bytes, is_intact: bool) -> None:
+    assert (runner.check_answer(body, "a", 20) == "") == is_intact
--- a/standins/tests/test_worker_agent.py
+++ b/standins/tests/test_worker_agent.py
@@ -11,8 +11,8 @@
 from standins.worker_agent import _state
 
 _CAPACITY = model.Resources(cpu_millis=4000, memory_mb=1000, accelerators=1)
-_ONE = model.Resources(cpu_millis=1000, memory_mb=100)
-_BIG = model.Resources(cpu_millis=3500, memory_mb=100)
+_SMALL = model.Resources(cpu_millis=1000, memory_mb=100)
+_LARGE = model.Resources(cpu_millis=3500, memory_mb=100)
 _STATE = model.TaskState
 
 
@@ -27,7 +27,7 @@
     now: float,
     name: str,
     payload: dict[str, typing.Any] | None = None,
-    resources: model.Resources = _ONE,
+    resources: model.Resources = _SMALL,
     lease_s: float = 10.0,
     expires_at: float = math.inf,
 ) -> str:
@@ -82,8 +82,8 @@
     _state.throttle(state, call, now)
 
 
-# Each step is a function, the time, its arguments, and its result.
-_STEPS = [
+# Each step is a function, the time, its arguments and the expected result.
+_SCENARIOS = [
     pytest.param(
         [
             (_start, 0.0, ("j.0.1", {"run_s": 2.0}), "started"),
@@ -93,7 +93,7 @@
             (_sync, 4.0, ("j.0.1",), {}),
             (_start, 5.0, ("j.0.1",), "ended"),
         ],
-        id="ended_attempt_is_lost_or_runs_again",
+        id="completion_is_lost_or_attempt_runs_again",
     ),
     pytest.param(
         [
@@ -107,10 +107,10 @@
     ),
     pytest.param(
         [
-            (_start, 0.0, ("j.0.1", {"run_s": 5.0}, _ONE, 2.0), "started"),
+            (_start, 0.0, ("j.0.1", {"run_s": 5.0}, _SMALL, 2.0), "started"),
             (_sync, 6.0, (), {"j.0.1": (_STATE.LAPSED, 2.0)}),
         ],
-        id="lapsed_attempt_counts_as_success",
+        id="expired_attempt_counted_as_success",
     ),
     pytest.param(
         [
@@ -137,11 +137,11 @@
     ),
     pytest.param(
         [
-            (_start, 0.0, ("j.0.1", {"run_s": 1.0}, _BIG), "started"),
-            (_start, 0.5, ("j.1.1", {}, _ONE), "no_capacity"),
-            (_start, 1.0, ("j.1.1", {}, _ONE), "started"),
+            (_start, 0.0, ("j.0.1", {"run_s": 1.0}, _LARGE), "started"),
+            (_start, 0.5, ("j.1.1", {}, _SMALL), "no_capacity"),
+            (_start, 1.0, ("j.1.1", {}, _SMALL), "started"),
         ],
-        id="overrun_accepted_or_capacity_kept_after_end",
+        id="overrun_accepted_or_capacity_not_freed",
     ),
     pytest.param(
         [
@@ -183,32 +183,32 @@
             (_throttle, 9.0, ("j.0.1", 1.0), None),
             (_sync, 12.0, (), {"j.0.1": (_STATE.SUCCEEDED, 12.0)}),
         ],
-        id="task_throttled_to_nothing_never_continues",
+        id="task_throttled_to_zero_never_resumes",
     ),
     pytest.param(
         [
             (_stop, 0.0, ("j.0.1", False), None),
             (_start, 1.0, ("j.0.1",), "ended"),
         ],
-        id="start_that_arrives_after_its_stop_runs",
+        id="start_delayed_until_after_its_stop_runs",
     ),
 ]
 
 
-@pytest.mark.parametrize("steps", _STEPS)
+@pytest.mark.parametrize("steps", _SCENARIOS)
 def test_attempts(steps: list[tuple]) -> None:
     state = worker_agent.State(worker_id="w", capacity=_CAPACITY)
     for function, now, arguments, expected in steps:
         assert function(state, now, *arguments) == expected, (function, now)
 
 
-def test_evidence_of_overrun_and_peak() -> None:
-    """A scenario would pass although a worker was overloaded."""
+def test_overruns_and_peak_are_recorded() -> None:
+    """Guards against scenarios that pass although a worker is overloaded."""
     state = worker_agent.State(worker_id="w", capacity=_CAPACITY)
-    _start(state, 0.0, "j.0.1", {"run_s": 1.0}, _BIG)
-    _start(state, 0.0, "j.1.1", {}, _ONE)
-    _start(state, 2.0, "j.2.1", {}, _ONE)
-    _start(state, 2.0, "j.2.2", {}, _ONE)
+    _start(state, 0.0, "j.0.1", {"run_s": 1.0}, _LARGE)
+    _start(state, 0.0, "j.1.1", {}, _SMALL)
+    _start(state, 2.0, "j.2.1", {}, _SMALL)
+    _start(state, 2.0, "j.2.2", {}, _SMALL)
     evidence = _state.evidence(state, 3.0)
     assert evidence["overruns"] == 1
     assert [fault["fault"] for fault in evidence["faults"]] == [
@@ -216,11 +216,11 @@
         "double_run",
     ]
     assert evidence["peak"] == model.Resources(cpu_millis=3500, memory_mb=200)
-    assert evidence["used"] == model.add(_ONE, _ONE)
+    assert evidence["used"] == model.add(_SMALL, _SMALL)
 
 
-def test_usage_lags() -> None:
-    """Reclaiming would be tested against usage that is known at once."""
+def test_reported_usage_lags() -> None:
+    """Guards against tests of reclaiming that know usage without delay."""
     state = worker_agent.State(worker_id="w", capacity=_CAPACITY)
     _start(state, 0.0, "j.0.1", {"usage_share": 0.5})
     usage = [
@@ -247,10 +247,13 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "found"),
+    ("first", "second", "overlaps_s"),
     [
         pytest.param(
-            [("j", 1, 0, 5)], [("j", 2, 5, 9)], [], id="handover_counts"
+            [("j", 1, 0, 5)],
+            [("j", 2, 5, 9)],
+            [],
+            id="successive_runs_counted",
         ),
         pytest.param(
             [("j", 1, 0, 5)], [("j", 2, 4, 9)], [1], id="overlap_missed"
@@ -268,21 +271,21 @@
             id="overlap_with_run_before_last_missed",
         ),
         pytest.param(
-            [("j", 1, 0, 5)], [("k", 1, 0, 5)], [], id="other_job_counts"
+            [("j", 1, 0, 5)], [("k", 1, 0, 5)], [], id="other_job_counted"
         ),
     ],
 )
 def test_find_double_runs(
-    first: list[tuple], second: list[tuple], found: list[float | None]
+    first: list[tuple], second: list[tuple], overlaps_s: list[float | None]
 ) -> None:
-    doubles = worker_agent.find_double_runs(
+    overlaps = worker_agent.find_double_runs(
         [_history("a", *first), _history("b", *second)]
     )
-    assert [double["overlap_s"] for double in doubles] == found
+    assert [overlap["overlap_s"] for overlap in overlaps] == overlaps_s
 
 
-def test_start_that_was_held_up_is_refused() -> None:
-    """Guards against a start read from a buffer after a pause."""
+def test_expired_start_is_refused() -> None:
+    """Guards against a start that is read from a buffer after a pause."""
     state = worker_agent.State(worker_id="w", capacity=_CAPACITY)
     wall = 100.0 + state.wall_offset_s
     assert _start(state, 100.0, "j.0.1", expires_at=wall - 1) == "expired"
@@ -290,8 +293,8 @@
     assert _start(state, 103.0, "j.0.1", expires_at=wall - 1) == "running"
 
 
-def test_known_reports_are_left_out_until_something_changes() -> None:
-    """Guards against an owner that misses a start or an end."""
+def test_reports_are_left_out_until_they_change() -> None:
+    """Guards against an owner that misses a start or a completion."""
     state = worker_agent.State(worker_id="w", capacity=_CAPACITY)
     _start(state, 1.0, "j.0.1", {"run_s": 5})
     first = _state.reports(state, 1.0)
--- a/standins/worker_agent/__init__.py
+++ b/standins/worker_agent/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in for the agents of workers."""
+"""Stand-in for worker agents."""
 
 from standins.worker_agent import _checks
 from standins.worker_agent import _server
--- a/standins/worker_agent/_server.py
+++ b/standins/worker_agent/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of worker agents."""
+"""HTTP server of the worker agent stand-in."""
 
 import asyncio
 import collections
@@ -16,30 +16,30 @@
 from standins import _serving
 from standins.worker_agent import _state
 
-# Calls whose answers are lost when `drop_answers` names no kinds.
+# Kinds of calls whose responses `drop_answers` drops by default.
 _DROPPED_KINDS: typing.Final[tuple[str, ...]] = ("start",)
 
 
 @attrs.define(kw_only=True)
 class Endpoint:
-    """A worker with its faults, counts and timer.
+    """A worker with its faults, call counts and timer.
 
     Attributes
     ----------
     state : State
-        The worker.
+        State of the worker.
     faults : Faults
-        The faults in force; `silent` is a partition.
+        Active faults; `silent` stands for a partition.
     refuse : bool
-        Whether starts are refused with 503.
+        Whether start calls are refused with 503.
     rng : Random
-        Draws which answers are lost.
+        Decides which responses are dropped.
     counts : Counter
-        Calls by kind.
+        Number of calls by kind.
     timer : TimerHandle or None
-        Fires at the next end of an attempt.
+        Timer for the next scheduled end of an attempt.
     changed : Event
-        Set and replaced at each event and change of faults.
+        Set and replaced when the state or the faults change.
     """
 
     state: _state.State
@@ -54,24 +54,26 @@
 
 
 class CallHandler(_serving.Handler):
-    """One kind of call."""
+    """Handler for one kind of call."""
 
     def initialize(self, endpoint: Endpoint, kind: str) -> None:
-        """Keep the worker and the kind of call."""
+        """Store the worker and the kind of call."""
         self._endpoint = endpoint
         self._kind = kind
 
     async def post(self) -> None:
-        """Carry the call out under the faults in force."""
+        """Execute the call, subject to the active faults."""
         endpoint, kind = self._endpoint, self._kind
         endpoint.counts[kind] += 1
-        verdict = _faults.judge(endpoint.faults, kind, "", endpoint.rng)
-        if verdict.hold:
-            await self._hold()
+        call_faults = _faults.draw_call_faults(
+            endpoint.faults, kind, "", endpoint.rng
+        )
+        if call_faults.block:
+            await self._block_until_lifted()
             return
-        if verdict.delay_s:
-            await asyncio.sleep(verdict.delay_s)
-        if verdict.refuse or (endpoint.refuse and kind == "start"):
+        if call_faults.delay_s:
+            await asyncio.sleep(call_faults.delay_s)
+        if call_faults.refuse or (endpoint.refuse and kind == "start"):
             self.reply(503, b'{"error":{"code":"refused"}}')
             return
         try:
@@ -79,31 +81,31 @@
         except errors.ProtocolError as error:
             status, body = 400, error.message.encode()
         if endpoint.faults.silent:
-            # The partition began while a sync was waiting.
-            await self._hold()
-        elif verdict.drop:
+            # The partition started while a sync was waiting.
+            await self._block_until_lifted()
+        elif call_faults.drop_response:
             self.hang_up()
         else:
             self.reply(status, body)
 
-    async def _hold(self) -> None:
+    async def _block_until_lifted(self) -> None:
         while self._endpoint.faults.silent:
             await self._endpoint.changed.wait()
         self.hang_up()
 
 
 def control(endpoint: Endpoint, fields: dict[str, typing.Any]) -> None:
-    """Set faults.
+    """Set faults of the worker.
 
     Parameters
     ----------
     endpoint : Endpoint
         The worker.
     fields : dict
-        ``fail_all``, ``refuse``, ``partition`` (calls get no answer and have
-        no effect), ``delay_s`` (before calls take effect), ``drop_answers``
-        (of starts, or of `drop_kinds`), ``down``, and the commands
-        ``kill_all``, ``restart`` (memory is lost) and ``reset`` (lifts all
+        ``fail_all``, ``refuse``, ``partition`` (calls have no effect and get
+        no response), ``delay_s`` (before calls take effect), ``drop_answers``
+        (to start calls, or to `drop_kinds`), ``down``, and the commands
+        ``kill_all``, ``restart`` (loses all memory) and ``reset`` (clears all
         faults).
     """
     changes = dict(fields)
@@ -117,15 +119,15 @@
         _state.restart(endpoint.state, now)
     endpoint.state.fail_all = changes.pop("fail_all", endpoint.state.fail_all)
     endpoint.refuse = changes.pop("refuse", endpoint.refuse)
-    for name, used in (("partition", "silent"), ("delay_s", "slow_s")):
+    for name, fault in (("partition", "silent"), ("delay_s", "slow_s")):
         if name in changes:
-            changes[used] = changes.pop(name)
+            changes[fault] = changes.pop(name)
     _faults.update(endpoint.faults, changes)
-    _notify(endpoint)
+    _notify_waiting(endpoint)
 
 
 def evidence(endpoint: Endpoint) -> dict[str, typing.Any]:
-    """Return the worker's evidence, counts and faults in force."""
+    """Return the worker's observations, call counts and active faults."""
     return {
         **_state.evidence(endpoint.state, time.monotonic()),
         "counts": dict(endpoint.counts),
@@ -135,10 +137,10 @@
     }
 
 
-def listen(*, port: int, endpoint: Endpoint) -> _serving.Served:
+def listen(*, port: int, endpoint: Endpoint) -> _serving.Standin:
     """Serve a worker agent on a loopback port; 0 picks a free one."""
     endpoint.state.wall_offset_s = time.time() - time.monotonic()
-    served = _serving.listen(
+    standin = _serving.listen(
         name=endpoint.state.worker_id,
         port=port,
         routes=[
@@ -158,8 +160,8 @@
         if endpoint.timer is not None:
             endpoint.timer.cancel()
 
-    served.close = close
-    return served
+    standin.close = close
+    return standin
 
 
 def make_endpoint(
@@ -167,7 +169,7 @@
     capacity: model.Resources,
     checkpoints: dict[_state.TaskKey, float] | None = None,
 ) -> Endpoint:
-    """Return a worker; pass one dict of checkpoints to those that share."""
+    """Return a worker; workers that get the same dict share checkpoints."""
     return Endpoint(
         state=_state.State(
             worker_id=worker_id,
@@ -178,14 +180,16 @@
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in process."""
     parser = _serving.make_parser(
-        "Stand-in for worker agents on consecutive ports. Checkpoints are"
-        " shared by the workers of one process."
+        "Stand-in for worker agents on consecutive ports. The workers of one"
+        " process share checkpoints."
     )
     parser.add_argument("--count", type=int, default=1)
     parser.add_argument(
-        "--first-id", default="worker-1", help="<name>-<number> of the first"
+        "--first-id",
+        default="worker-1",
+        help="id of the first worker, <name>-<number>",
     )
     parser.add_argument("--cpu-millis", type=int, default=16_000)
     parser.add_argument("--memory-mb", type=int, default=32_000)
@@ -197,7 +201,7 @@
         accelerators=arguments.accelerators,
     )
 
-    def start() -> list[_serving.Served]:
+    def start() -> list[_serving.Standin]:
         checkpoints: dict[_state.TaskKey, float] = {}
         return [
             listen(
@@ -214,22 +218,23 @@
 
 async def _start(endpoint: Endpoint, body: bytes) -> tuple[int, bytes]:
     call = _worker_agent_wire.decode_start(body)
-    if not _accepts(endpoint, call.epoch):
-        return _stale(endpoint)
+    if not _accept_epoch(endpoint, call.epoch):
+        return _reply_stale_epoch(endpoint)
     outcomes = _state.start(endpoint.state, call, time.monotonic())
-    _notify(endpoint)
+    _notify_waiting(endpoint)
     return 200, _worker_agent_wire.encode_outcomes(outcomes)
 
 
 async def _sync(endpoint: Endpoint, body: bytes) -> tuple[int, bytes]:
     call = _worker_agent_wire.decode_sync(body)
-    if not _accepts(endpoint, call.epoch):
-        return _stale(endpoint)
+    if not _accept_epoch(endpoint, call.epoch):
+        return _reply_stale_epoch(endpoint)
     now = time.monotonic()
     deadline = now + call.wait_s
     _state.sync(endpoint.state, call, now)
     _set_timer(endpoint)
-    # A sequence above the worker's own is one from before its restart.
+    # A sequence number above the worker's own dates from before its restart,
+    # so the call returns at once.
     while endpoint.state.sequence == call.after and now < deadline:
         try:
             async with asyncio.timeout(deadline - now):
@@ -237,7 +242,7 @@
         except TimeoutError:
             break
         if call.epoch < endpoint.state.epoch:
-            return _stale(endpoint)
+            return _reply_stale_epoch(endpoint)
         now = time.monotonic()
     result = _state.reports(endpoint.state, time.monotonic(), call.known)
     return 200, _worker_agent_wire.encode_sync_result(result)
@@ -245,19 +250,19 @@
 
 async def _stop(endpoint: Endpoint, body: bytes) -> tuple[int, bytes]:
     call = _worker_agent_wire.decode_stop(body)
-    if not _accepts(endpoint, call.epoch):
-        return _stale(endpoint)
+    if not _accept_epoch(endpoint, call.epoch):
+        return _reply_stale_epoch(endpoint)
     _state.stop(endpoint.state, call, time.monotonic())
-    _notify(endpoint)
+    _notify_waiting(endpoint)
     return 200, b"{}"
 
 
 async def _throttle(endpoint: Endpoint, body: bytes) -> tuple[int, bytes]:
     call = _worker_agent_wire.decode_throttle(body)
-    if not _accepts(endpoint, call.epoch):
-        return _stale(endpoint)
+    if not _accept_epoch(endpoint, call.epoch):
+        return _reply_stale_epoch(endpoint)
     _state.throttle(endpoint.state, call, time.monotonic())
-    _notify(endpoint)
+    _notify_waiting(endpoint)
     return 200, b"{}"
 
 
@@ -271,19 +276,19 @@
 ] = {"start": _start, "sync": _sync, "stop": _stop, "throttle": _throttle}
 
 
-def _accepts(endpoint: Endpoint, epoch: int) -> bool:
+def _accept_epoch(endpoint: Endpoint, epoch: int) -> bool:
     before = endpoint.state.epoch
-    accepted = _state.accepts(endpoint.state, epoch)
+    accepted = _state.accept_epoch(endpoint.state, epoch)
     if endpoint.state.epoch != before:
-        _notify(endpoint)
+        _notify_waiting(endpoint)
     return accepted
 
 
-def _stale(endpoint: Endpoint) -> tuple[int, bytes]:
+def _reply_stale_epoch(endpoint: Endpoint) -> tuple[int, bytes]:
     return 409, _worker_agent_wire.encode_stale_epoch(endpoint.state.epoch)
 
 
-def _notify(endpoint: Endpoint) -> None:
+def _notify_waiting(endpoint: Endpoint) -> None:
     endpoint.changed.set()
     endpoint.changed = asyncio.Event()
     _set_timer(endpoint)
@@ -293,13 +298,13 @@
     if endpoint.timer is not None:
         endpoint.timer.cancel()
         endpoint.timer = None
-    due = _state.next_event(endpoint.state)
+    due = _state.next_end_time(endpoint.state)
     if due is not None:
         endpoint.timer = asyncio.get_running_loop().call_later(
-            max(0.0, due - time.monotonic()), _fire, endpoint
+            max(0.0, due - time.monotonic()), _on_timer, endpoint
         )
 
 
-def _fire(endpoint: Endpoint) -> None:
+def _on_timer(endpoint: Endpoint) -> None:
     _state.advance(endpoint.state, time.monotonic())
-    _notify(endpoint)
+    _notify_waiting(endpoint)
--- a/standins/worker_agent/_state.py
+++ b/standins/worker_agent/_state.py
@@ -1,7 +1,8 @@
-"""A worker agent's state: running attempts, leases and evidence.
+"""State of a worker agent: running attempts, leases and recorded history.
 
-A pure part: the time is an argument. Every end of an attempt is dated at the
-moment when it was due, so evidence is exact also when a call comes late.
+The functions do no I/O and take the time as an argument. An attempt's end is
+recorded with the time at which it was due, so the history is exact even when
+the next call comes late.
 """
 
 import json
@@ -14,97 +15,98 @@
 from chestnuttide import platform
 from chestnuttide.platform import _worker_agent_wire
 
-# Seconds that usage lags behind what a task really uses.
+# Seconds by which reported usage lags behind actual usage.
 USAGE_LAG_S: typing.Final[float] = 1.0
 
-# Run time of a task on a worker that fails everything, in seconds.
+# Run time of a task while `fail_all` is set, in seconds.
 FAIL_ALL_RUN_S: typing.Final[float] = 0.01
 
-# Remainders of work below this many seconds count as done, because times are
-# sums of floats.
-_DONE_S: typing.Final[float] = 1e-6
+# Remaining work at or below this many seconds counts as done, to absorb the
+# rounding errors of summed floats.
+_WORK_TOLERANCE_S: typing.Final[float] = 1e-6
 
 TaskKey: typing.TypeAlias = tuple[str, int]
 
 
 @attrs.define(kw_only=True)
-class Running:
-    """An attempt that is running.
+class RunningAttempt:
+    """A running attempt.
 
     Attributes
     ----------
     start : TaskStart
-        What was asked for.
-    started : float
-        Time of the start.
+        The start request.
+    started_at_s : float
+        Start time.
     lease_until : float
-        Time at which the worker stops it unless renewed.
+        Expiry of its lease, at which the worker stops it.
     work_s : float
-        Seconds of full speed after which it ends; infinite for a service.
+        Run time at full speed in seconds; infinite for a service.
     fails : bool
-        Whether it then ends as failed.
+        Whether it fails at its end.
     usage_share : float
-        Share of its resources that it uses.
+        Share of its reserved resources that it uses.
     progress_s : float
-        Seconds of full speed done up to `progress_at`.
-    progress_at : float
-        Time of `progress_s`.
+        Work done until `progress_at_s`, in seconds at full speed.
+    progress_at_s : float
+        Time to which `progress_s` refers.
     share : float
-        Share of its processor time that it gets.
+        Share of its CPU time that it gets; below 1 when throttled.
     record : dict
-        Its entry in the history.
+        Its record in the history.
     """
 
     start: platform.TaskStart
-    started: float
+    started_at_s: float
     lease_until: float
     work_s: float
     fails: bool
     usage_share: float
     progress_s: float
-    progress_at: float
+    progress_at_s: float
     share: float = 1.0
     record: dict[str, typing.Any]
 
 
 @attrs.define(kw_only=True)
 class State:
-    """One worker.
+    """State of one worker.
 
     Attributes
     ----------
     worker_id : str
-        Its instance id.
+        Instance id of the worker.
     capacity : Resources
-        What it offers.
+        Resources that it offers.
     checkpoints : dict of TaskKey to float
-        Progress of stopped tasks in seconds, shared by the workers of a
-        process, like a network disk.
+        Progress of stopped tasks in seconds. The workers of a process share
+        it, as if on network storage.
     wall_offset_s : float
-        Added to times for the history, which is in time.time().
+        Offset from the clock of the arguments to time.time(), which the
+        history uses.
     epoch : int
         Highest epoch seen.
     sequence : int
-        Number of the last event.
-    running : dict of Attempt to Running
-        What is running.
-    ended : dict of Attempt to AttemptReport
-        Ended attempts that were not acknowledged.
-    known : set of Attempt
-        All attempts ever started or stopped here, so that a late start does
-        not run one again.
+        Number of completions since the start or the last restart.
+    running : dict of Attempt to RunningAttempt
+        Running attempts.
+    completions : dict of Attempt to AttemptReport
+        Reports of ended attempts that are not acknowledged yet.
+    seen_attempts : set of Attempt
+        Attempts that were ever started or stopped here, so that a delayed
+        start does not run one again.
     used : Resources
-        Sum of the resources of what is running.
+        Sum of the resources reserved by running attempts.
     peak : Resources
-        Highest use so far, by dimension.
+        Highest reserved amount of each resource so far.
     history : list of dict
-        Starts and ends of all attempts.
+        Start and end times of all attempts.
     faults : list of dict
-        What a scheduler should never ask for.
+        Requests that a correct scheduler never makes.
     stale_calls : int
-        Calls with an old epoch, which a deposed owner may make.
+        Number of calls with an old epoch, which a deposed owner may make.
     fail_all : bool
-        Whether everything that starts fails.
+        Whether every started attempt fails.
     """
 
     worker_id: str
@@ -113,9 +115,9 @@
     wall_offset_s: float = 0.0
     epoch: int = 0
     sequence: int = 0
-    running: dict[model.Attempt, Running] = attrs.Factory(dict)
-    ended: dict[model.Attempt, model.AttemptReport] = attrs.Factory(dict)
-    known: set[model.Attempt] = attrs.Factory(set)
+    running: dict[model.Attempt, RunningAttempt] = attrs.Factory(dict)
+    completions: dict[model.Attempt, model.AttemptReport] = attrs.Factory(dict)
+    seen_attempts: set[model.Attempt] = attrs.Factory(set)
     used: model.Resources = model.ZERO
     peak: model.Resources = model.ZERO
     history: list[dict[str, typing.Any]] = attrs.Factory(list)
@@ -125,18 +127,18 @@
 
 
 def advance(state: State, now: float) -> None:
-    """End the attempts that are done and those whose lease has lapsed."""
+    """End attempts whose work is done or whose lease has expired."""
     while True:
         due = [
-            (min(_done_at(run), run.lease_until), attempt)
+            (min(_completion_time(run), run.lease_until), attempt)
             for attempt, run in state.running.items()
         ]
         due = [item for item in due if item[0] <= now]
         if not due:
             return
-        when, attempt = min(due, key=lambda item: item[0])
+        ended_at_s, attempt = min(due, key=lambda item: item[0])
         run = state.running[attempt]
-        if _done_at(run) <= run.lease_until:
+        if _completion_time(run) <= run.lease_until:
             ended = (
                 model.TaskState.FAILED
                 if run.fails
@@ -144,14 +146,14 @@
             )
         else:
             ended = model.TaskState.LAPSED
-        _end(state, attempt, ended, when)
+        _end_attempt(state, attempt, ended, ended_at_s)
 
 
-def next_event(state: State) -> float | None:
-    """Return the time of the next end of an attempt, if any is due."""
+def next_end_time(state: State) -> float | None:
+    """Return the next scheduled end of an attempt, or None."""
     due = min(
         (
-            min(_done_at(run), run.lease_until)
+            min(_completion_time(run), run.lease_until)
             for run in state.running.values()
         ),
         default=math.inf,
@@ -159,8 +161,8 @@
     return None if due == math.inf else due
 
 
-def accepts(state: State, epoch: int) -> bool:
-    """Return whether an epoch is not too old, and remember it."""
+def accept_epoch(state: State, epoch: int) -> bool:
+    """Return whether an epoch is current, and record it if so."""
     if epoch < state.epoch:
         state.stale_calls += 1
         return False
@@ -171,30 +173,30 @@
 def start(
     state: State, call: _worker_agent_wire.StartCall, now: float
 ) -> list[platform.StartOutcome]:
-    """Start attempts, each at most once ever."""
+    """Start attempts, each at most once."""
     advance(state, now)
     return [
         platform.StartOutcome(
             attempt=task.attempt,
-            outcome=_start_one(state, task, call, now),
+            outcome=_start_attempt(state, task, call, now),
         )
         for task in call.starts
     ]
 
 
 def sync(state: State, call: _worker_agent_wire.SyncCall, now: float) -> None:
-    """Renew all leases and forget acknowledged attempts."""
+    """Renew all leases and drop acknowledged completions."""
     advance(state, now)
     for run in state.running.values():
         run.lease_until = now + call.lease_s
     for attempt in call.acknowledged:
-        state.ended.pop(attempt, None)
+        state.completions.pop(attempt, None)
 
 
 def reports(state: State, now: float, known: str = "") -> platform.SyncResult:
-    """Return the live attempts and the ended ones not acknowledged.
+    """Return reports of running attempts and unacknowledged completions.
 
-    They are left out if their digest is `known`.
+    The reports are left out if their digest equals `known`.
     """
     advance(state, now)
     live = tuple(
@@ -202,12 +204,12 @@
             attempt=attempt,
             state=model.TaskState.RUNNING,
             resources=run.start.resources,
-            run_s=now - run.started,
+            run_s=now - run.started_at_s,
             usage=_usage(run, now),
         )
         for attempt, run in state.running.items()
     )
-    found = (*live, *state.ended.values())
+    found = (*live, *state.completions.values())
     digest = _worker_agent_wire.digest_reports(found)
     return platform.SyncResult(
         sequence=state.sequence,
@@ -217,50 +219,50 @@
 
 
 def stop(state: State, call: _worker_agent_wire.StopCall, now: float) -> None:
-    """Stop attempts; one that never started here will not start later."""
+    """Stop attempts, and reject delayed starts of attempts not seen yet."""
     advance(state, now)
     for attempt in call.tasks:
-        state.known.add(attempt)
+        state.seen_attempts.add(attempt)
         run = state.running.get(attempt)
         if run is None:
             continue
         if call.checkpoint:
             key = (attempt.job_id, attempt.index)
             state.checkpoints[key] = _progress(run, now)
-        _end(state, attempt, model.TaskState.STOPPED, now)
+        _end_attempt(state, attempt, model.TaskState.STOPPED, now)
 
 
 def throttle(
     state: State, call: _worker_agent_wire.ThrottleCall, now: float
 ) -> None:
-    """Limit attempts to a share of their processor time."""
+    """Limit attempts to a share of their CPU time."""
     advance(state, now)
     for attempt in call.tasks:
         run = state.running.get(attempt)
         if run is not None:
             run.progress_s = _progress(run, now)
-            run.progress_at = now
+            run.progress_at_s = now
             run.share = min(1.0, max(0.0, call.share))
 
 
 def kill_all(state: State, now: float) -> None:
-    """End everything that is running as failed."""
+    """End all running attempts as failed."""
     advance(state, now)
     for attempt in list(state.running):
-        _end(state, attempt, model.TaskState.FAILED, now)
+        _end_attempt(state, attempt, model.TaskState.FAILED, now)
 
 
 def restart(state: State, now: float) -> None:
-    """Lose everything but the evidence, as a rebooted worker does."""
+    """Simulate a reboot; only the recorded history is kept."""
     kill_all(state, now)
-    state.ended.clear()
-    state.known.clear()
+    state.completions.clear()
+    state.seen_attempts.clear()
     state.epoch = 0
     state.sequence = 0
 
 
 def evidence(state: State, now: float) -> dict[str, typing.Any]:
-    """Return faults, history and peak of use."""
+    """Return the history, the peak use and the observed faults."""
     advance(state, now)
     return {
         "worker_id": state.worker_id,
@@ -270,7 +272,7 @@
         "epoch": state.epoch,
         "sequence": state.sequence,
         "running": len(state.running),
-        "unacknowledged": len(state.ended),
+        "unacknowledged": len(state.completions),
         "faults": state.faults,
         "stale_calls": state.stale_calls,
         "overruns": sum(fault["fault"] == "overrun" for fault in state.faults),
@@ -278,7 +280,7 @@
     }
 
 
-def _start_one(
+def _start_attempt(
     state: State,
     task: platform.TaskStart,
     call: _worker_agent_wire.StartCall,
@@ -287,18 +289,18 @@
     attempt = task.attempt
     if attempt in state.running:
         return "running"
-    if attempt in state.known:
+    if attempt in state.seen_attempts:
         return "ended"
     if now + state.wall_offset_s > call.expires_at:
         return "expired"
-    twins = [
+    concurrent = [
         other.number
         for other in state.running
         if (other.job_id, other.index) == (attempt.job_id, attempt.index)
     ]
-    if twins:
+    if concurrent:
         state.faults.append(
-            {"fault": "double_run", "attempt": attempt, "live": twins}
+            {"fault": "double_run", "attempt": attempt, "live": concurrent}
         )
     free = model.subtract(state.capacity, state.used)
     if not model.fits(task.resources, free):
@@ -312,7 +314,7 @@
             }
         )
         return "no_capacity"
-    work_s, fails, usage_share = _plan(state, task.payload)
+    work_s, fails, usage_share = _plan_run(state, task.payload)
     record = {
         "job_id": attempt.job_id,
         "index": attempt.index,
@@ -322,18 +324,18 @@
         "state": model.TaskState.RUNNING,
     }
     key = (attempt.job_id, attempt.index)
-    state.running[attempt] = Running(
+    state.running[attempt] = RunningAttempt(
         start=task,
-        started=now,
+        started_at_s=now,
         lease_until=now + call.lease_s,
         work_s=work_s,
         fails=fails,
         usage_share=usage_share,
         progress_s=state.checkpoints.get(key, 0.0),
-        progress_at=now,
+        progress_at_s=now,
         record=record,
     )
-    state.known.add(attempt)
+    state.seen_attempts.add(attempt)
     state.history.append(record)
     state.used = model.add(state.used, task.resources)
     state.peak = model.Resources(
@@ -344,11 +346,11 @@
     return "started"
 
 
-def _plan(state: State, payload: bytes) -> tuple[float, bool, float]:
-    """Return the work, whether it fails, and the share of use.
+def _plan_run(state: State, payload: bytes) -> tuple[float, bool, float]:
+    """Return the work in seconds, whether it fails, and its usage share.
 
-    A task with a payload that it cannot use fails at once, as a program
-    with wrong arguments does.
+    A task with an invalid payload fails at once, like a program with wrong
+    arguments.
     """
     if state.fail_all:
         return FAIL_ALL_RUN_S, True, 1.0
@@ -366,48 +368,50 @@
     return run_s, False, usage_share
 
 
-def _progress(run: Running, now: float) -> float:
-    return run.progress_s + (now - run.progress_at) * run.share
+def _progress(run: RunningAttempt, now: float) -> float:
+    return run.progress_s + (now - run.progress_at_s) * run.share
 
 
-def _done_at(run: Running) -> float:
+def _completion_time(run: RunningAttempt) -> float:
     remaining = run.work_s - run.progress_s
-    if remaining <= _DONE_S:
-        return run.progress_at
+    if remaining <= _WORK_TOLERANCE_S:
+        return run.progress_at_s
     return (
-        run.progress_at + remaining / run.share if run.share > 0 else math.inf
+        run.progress_at_s + remaining / run.share
+        if run.share > 0
+        else math.inf
     )
 
 
-def _end(
+def _end_attempt(
     state: State,
     attempt: model.Attempt,
     ended: model.TaskState,
-    when: float,
+    ended_at_s: float,
 ) -> None:
     run = state.running.pop(attempt)
     state.used = model.subtract(state.used, run.start.resources)
-    run.record["end"] = when + state.wall_offset_s
+    run.record["end"] = ended_at_s + state.wall_offset_s
     run.record["state"] = ended
     if ended == model.TaskState.SUCCEEDED:
         state.checkpoints.pop((attempt.job_id, attempt.index), None)
     state.sequence += 1
-    state.ended[attempt] = model.AttemptReport(
+    state.completions[attempt] = model.AttemptReport(
         attempt=attempt,
         state=ended,
         resources=run.start.resources,
-        run_s=when - run.started,
-        usage=_usage(run, when),
+        run_s=ended_at_s - run.started_at_s,
+        usage=_usage(run, ended_at_s),
     )
 
 
-def _usage(run: Running, now: float) -> model.Resources:
-    """Return the usage that shows, which is the reservation at first."""
-    if now - run.started < USAGE_LAG_S:
+def _usage(run: RunningAttempt, now: float) -> model.Resources:
+    """Return the reported usage, which is initially the reservation."""
+    if now - run.started_at_s < USAGE_LAG_S:
         return run.start.resources
-    need, share = run.start.resources, run.usage_share
+    reserved, share = run.start.resources, run.usage_share
     return model.Resources(
-        cpu_millis=round(need.cpu_millis * share * run.share),
-        memory_mb=round(need.memory_mb * share),
-        accelerators=need.accelerators,
+        cpu_millis=round(reserved.cpu_millis * share * run.share),
+        memory_mb=round(reserved.memory_mb * share),
+        accelerators=reserved.accelerators,
     )
