--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -7,10 +7,11 @@
 
 from standins import cloud
 
-# Latest start of a cancelled job's task, after the cancel was acknowledged.
+# Time after the acknowledgement of a cancel from which no task of the job may
+# start.
 CANCEL_LIMIT_S = 3.0
 
-# Time after its acknowledgement at which every daemon must know a job.
+# Time after its acknowledgement from which every daemon must know a job.
 VISIBILITY_LIMIT_S = 3.0
 
 TERMINAL = ("complete", "failed", "canceled")
@@ -113,22 +114,24 @@
     job_id, _, step, _ = task.split(".")
     job = ledger.jobs.get(job_id)
     if job is None or command["spec"] != job.body["spec"]:
-        record_violation(ledger, f"start that nobody submitted: {label}")
+        record_violation(ledger, f"start of a task not submitted: {label}")
         return
     if job.refused:
         record_violation(ledger, f"start of a refused job: {label}")
     # A partition may delay a start until after a cancel, so cancelled jobs
     # are excluded here; CANCEL_LIMIT_S bounds their starts below.
     if job.state in ("complete", "failed"):
-        record_violation(ledger, f"start of a job shown {job.state}: {label}")
-    since_s = time.monotonic() - job.cancelled_at
-    if job.cancelled_at and since_s > CANCEL_LIMIT_S:
         record_violation(
-            ledger, f"start {since_s:.1f} s after cancel: {label}"
+            ledger, f"start of a job reported as {job.state}: {label}"
         )
-    for earlier in job.body["steps"][int(step)].get("after", ()):
-        for index in range(job.body["steps"][earlier]["count"]):
-            if not ledger.completed_runs[f"{job_id}.0.{earlier}.{index}"]:
+    since_cancel_s = time.monotonic() - job.cancelled_at
+    if job.cancelled_at and since_cancel_s > CANCEL_LIMIT_S:
+        record_violation(
+            ledger, f"start {since_cancel_s:.1f} s after cancel: {label}"
+        )
+    for predecessor in job.body["steps"][int(step)].get("after", ()):
+        for index in range(job.body["steps"][predecessor]["count"]):
+            if not ledger.completed_runs[f"{job_id}.0.{predecessor}.{index}"]:
                 record_violation(
                     ledger, f"start before its predecessor ended: {label}"
                 )
@@ -160,13 +163,15 @@
         and job.accepted_at
         and now - job.accepted_at > VISIBILITY_LIMIT_S
     ):
-        record_violation(ledger, f"accepted job is not known: {job.id}")
+        record_violation(ledger, f"accepted job is unknown: {job.id}")
     if status != 200:
         return
     if job.state in TERMINAL and state != job.state:
         record_violation(ledger, f"{job.id} went from {job.state} to {state}")
     if state == "failed":
-        record_violation(ledger, f"{job.id} is shown as failed without cause")
+        record_violation(
+            ledger, f"{job.id} is reported as failed without cause"
+        )
     if state == "complete":
         _check_complete(ledger, job)
     job.state = state
@@ -177,5 +182,7 @@
         for index in range(step["count"]):
             task = f"{job.id}.0.{number}.{index}"
             if not ledger.completed_runs[task]:
-                record_violation(ledger, f"shown complete without {task}")
+                record_violation(
+                    ledger, f"reported as complete without {task}"
+                )
                 return
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -9,16 +9,16 @@
 import random
 import time
 
+from soak import _callers
 from soak import _checks
-from soak import _clients
 from soak import _faults
 from soak import _proxy
 from standins import cloud
 from standins import harness
 from standins import node_cell
 
-WORKERS = 4
-WORKER_CPU = 8000
+WORKER_COUNT = 4
+WORKER_CPU_MILLIS = 8000
 JOBS_PER_S = 4.0
 
 # Time after the last fault within which all accepted jobs must end.
@@ -51,7 +51,7 @@
     """
     rng = random.Random(seed)
     async with _run_testbed(folder, nodes=nodes) as testbed:
-        callers = _clients.Callers(
+        callers = _callers.Callers(
             ledger=testbed.ledger,
             nodes=testbed.cell.nodes,
             rng=random.Random(rng.random()),
@@ -79,10 +79,10 @@
         cloud.Worker(
             id=f"i-{number}",
             service=node_cell.SERVICE,
-            capacity={"cpu": WORKER_CPU, "memMb": 8000, "gpu": 0},
+            capacity={"cpu": WORKER_CPU_MILLIS, "memMb": 8000, "gpu": 0},
             clock_rate=CLOCK_RATES[number % len(CLOCK_RATES)],
         )
-        for number in range(WORKERS)
+        for number in range(WORKER_COUNT)
     ]
 
     async def serve(handler: object, state: object) -> _proxy.Proxy:
@@ -149,7 +149,7 @@
 
 
 async def _submit_jobs(
-    callers: _clients.Callers,
+    callers: _callers.Callers,
     jobs: set[asyncio.Task[None]],
     stop: asyncio.Event,
     rng: random.Random,
@@ -157,12 +157,12 @@
     while not stop.is_set():
         await asyncio.sleep(rng.expovariate(JOBS_PER_S))
         job_id = f"{rng.getrandbits(64):016x}"
-        jobs.add(asyncio.ensure_future(_clients.run_job(callers, job_id)))
+        jobs.add(asyncio.ensure_future(_callers.run_job(callers, job_id)))
 
 
 async def _finish_jobs(
     testbed: _faults.Testbed,
-    callers: _clients.Callers,
+    callers: _callers.Callers,
     jobs: set[asyncio.Task[None]],
 ) -> None:
     """Wait for all jobs without faults, then check the final state."""
@@ -173,11 +173,11 @@
     await _check_config(testbed)
     callers.faults_ended.set()
     started_at_s = time.monotonic()
-    done, left = await asyncio.wait(jobs, timeout=FINISH_LIMIT_S)
+    done, unfinished = await asyncio.wait(jobs, timeout=FINISH_LIMIT_S)
     for task in done:
         if task.exception() is not None:
             _checks.record_violation(ledger, f"caller: {task.exception()!r}")
-    for task in left:
+    for task in unfinished:
         task.cancel()
     waited_s = time.monotonic() - started_at_s
     for job in ledger.jobs.values():
@@ -187,7 +187,9 @@
                 f"{job.id} is {job.state or 'unknown'} after {waited_s:.0f} s",
             )
         if not job.accepted_at and not job.refused:
-            _checks.record_violation(ledger, f"{job.id} never got a response")
+            _checks.record_violation(
+                ledger, f"{job.id} was neither accepted nor refused"
+            )
     for worker in testbed.cell.workers:
         for task, run in worker.runs:
             job = ledger.jobs[task.split(".")[0]]
--- a/soak/_seeds.py
+++ b/soak/_seeds.py
@@ -1,8 +1,8 @@
 """Seeds that have failed, with the cause of each; ``--failed`` reruns them.
 
 A seed fixes the faults and the jobs but not the timing of the daemons, so one
-passing run does not prove that a fault is mended. The table-driven tests of
-the decision functions do.
+passing run does not prove a fix. The table-driven tests of the decision
+functions do.
 """
 
 FAILED = {
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -57,19 +57,27 @@
 
 
 @pytest.mark.parametrize(
-    ("prepare", "command", "found"),
+    ("prepare", "command", "violation"),
     [
         pytest.param({}, _command("a.0.0.0"), "", id="allowed"),
-        pytest.param({}, _command("b.0.0.0"), "nobody", id="unknown-job"),
         pytest.param(
-            {}, _command("a.0.0.0", spec="x"), "nobody", id="other-payload"
+            {}, _command("b.0.0.0"), "not submitted", id="unknown-job"
+        ),
+        pytest.param(
+            {},
+            _command("a.0.0.0", spec="x"),
+            "not submitted",
+            id="other-payload",
         ),
         pytest.param({}, _command("a.0.1.0"), "predecessor", id="too-early"),
         pytest.param(
             {"refused": True}, _command("a.0.0.0"), "refused", id="refused"
         ),
         pytest.param(
-            {"state": "complete"}, _command("a.0.0.0"), "shown", id="ended"
+            {"state": "complete"},
+            _command("a.0.0.0"),
+            "reported as",
+            id="ended",
         ),
         pytest.param(
             {"cancelled_at": 1.0},
@@ -80,15 +88,15 @@
     ],
 )
 def test_forbidden_starts_are_reported(
-    prepare: dict[str, object], command: dict[str, object], found: str
+    prepare: dict[str, object], command: dict[str, object], violation: str
 ) -> None:
     """Guards against soak checks that cannot fail."""
     ledger, workers = _make_ledger()
     for name, value in prepare.items():
         setattr(ledger.jobs["a"], name, value)
     workers[0].on_start(command)
-    if found:
-        assert found in ledger.violations[0]
+    if violation:
+        assert violation in ledger.violations[0]
     else:
         assert ledger.violations == []
 
--- a/standins/_faults.py
+++ b/standins/_faults.py
@@ -88,8 +88,8 @@
 ) -> CallFaults:
     """Return the faults to apply to a call, and count down `drop_answers`.
 
-    An empty kind stands for a waiting call, whose response is never dropped
-    or counted.
+    An empty kind stands for a call that is still waiting, which does not
+    count down `drop_answers`.
     """
     if not key.startswith(faults.for_prefix):
         return _NO_FAULTS
--- a/standins/_serving.py
+++ b/standins/_serving.py
@@ -20,7 +20,7 @@
 HOST: typing.Final[str] = "127.0.0.1"
 
 # Listen backlog for callers that all connect at once at the peak of a test.
-_BACKLOG: typing.Final[int] = 1024
+_BACKLOG_CONNECTIONS: typing.Final[int] = 1024
 
 Control: typing.TypeAlias = collections.abc.Callable[
     [dict[str, typing.Any]], object
@@ -157,7 +157,7 @@
     )
     server = CountingServer(application)
     application.settings["server"] = server
-    sockets = netutil.bind_sockets(port, HOST, backlog=_BACKLOG)
+    sockets = netutil.bind_sockets(port, HOST, backlog=_BACKLOG_CONNECTIONS)
     server.add_sockets(sockets)
     return Standin(
         name=name,
@@ -185,7 +185,9 @@
         log_function=_log_nothing,
     )
     server = CountingServer(application)
-    server.add_sockets(netutil.bind_sockets(port, HOST, backlog=_BACKLOG))
+    server.add_sockets(
+        netutil.bind_sockets(port, HOST, backlog=_BACKLOG_CONNECTIONS)
+    )
     return server
 
 
--- a/standins/tests/test_harness.py
+++ b/standins/tests/test_harness.py
@@ -36,9 +36,9 @@
         assert harness.evidence(store)["revision"] == 0
 
         harness.kill(store)
-        again = harness.restart(processes, "store")
-        assert again.ports == store.ports
-        assert harness.terminate(again) == 0
+        restarted = harness.restart(processes, "store")
+        assert restarted.ports == store.ports
+        assert harness.terminate(restarted) == 0
         assert runners.popen.poll() is None
     assert runners.popen.poll() is not None
 
