--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -183,6 +183,6 @@
             task = f"{job.id}.0.{number}.{index}"
             if not ledger.completed_runs[task]:
                 record_violation(
-                    ledger, f"reported as complete without {task}"
+                    ledger, f"job reported as complete without {task}"
                 )
                 return
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -207,7 +207,7 @@
         if status != 200:
             _checks.record_violation(
                 testbed.ledger,
-                f"{node.name} answers {status} for version {testbed.version}",
+                f"{node.name} returns {status} for version {testbed.version}",
             )
 
 
--- a/standins/harness.py
+++ b/standins/harness.py
@@ -280,7 +280,7 @@
         The stand-in has ended; the message includes its standard error.
     """
 
-    def find_ready() -> bool:
+    def is_ready() -> bool:
         # After a restart the log still holds the ready lines of earlier
         # processes, so the control port must accept connections as well.
         lines = [
@@ -293,7 +293,7 @@
         process.ports = json.loads(lines[-1])["ports"]
         return True
 
-    wait_for(process, find_ready, timeout_s=timeout_s)
+    wait_for(process, is_ready, timeout_s=timeout_s)
 
 
 def wait_for_http(
@@ -312,13 +312,13 @@
         See `wait_until_ready`.
     """
 
-    def answers() -> bool:
+    def has_status() -> bool:
         try:
             return call(port, "GET", path)[0] == status
         except (OSError, http.client.HTTPException):
             return False
 
-    wait_for(process, answers, timeout_s=timeout_s)
+    wait_for(process, has_status, timeout_s=timeout_s)
 
 
 def wait_for(
--- a/standins/node_cell.py
+++ b/standins/node_cell.py
@@ -317,7 +317,10 @@
 
 
 def check_runs(cell: Cell) -> None:
-    """Assert that no task ran twice on a worker or twice under one number."""
+    """Check that runs of a task share no number nor overlap on a worker.
+
+    Overlaps of runs on two workers are not checked.
+    """
     for worker in cell.workers:
         assert worker.overlaps == []
     runs_by_task: dict[str, list[int]] = {}
--- a/standins/store/_calls.py
+++ b/standins/store/_calls.py
@@ -164,7 +164,7 @@
     key = str(fields.get("key", fields.get("prefix", "")))
     call_faults = _draw_call_faults(endpoint, client, kind, key)
     if call_faults.block:
-        await _block_until_lifted(endpoint, client, key)
+        await _block_until_cleared(endpoint, client, key)
     if call_faults.delay_s:
         await asyncio.sleep(call_faults.delay_s)
     if call_faults.refuse:
@@ -192,7 +192,7 @@
     )
 
 
-async def _block_until_lifted(
+async def _block_until_cleared(
     endpoint: Endpoint, client: str, key: str
 ) -> typing.NoReturn:
     endpoint.failures["held"] += 1
@@ -221,7 +221,7 @@
                 endpoint, client, "", fields["prefix"]
             )
             if call_faults.block:
-                await _block_until_lifted(endpoint, client, fields["prefix"])
+                await _block_until_cleared(endpoint, client, fields["prefix"])
             if call_faults.refuse:
                 endpoint.failures["refused"] += 1
                 raise RequestRefusedError
--- a/standins/worker_agent/_server.py
+++ b/standins/worker_agent/_server.py
@@ -69,7 +69,7 @@
             endpoint.faults, kind, "", endpoint.rng
         )
         if call_faults.block:
-            await self._block_until_lifted()
+            await self._block_until_cleared()
             return
         if call_faults.delay_s:
             await asyncio.sleep(call_faults.delay_s)
@@ -82,13 +82,13 @@
             status, body = 400, error.message.encode()
         if endpoint.faults.silent:
             # The partition started while a sync was waiting.
-            await self._block_until_lifted()
+            await self._block_until_cleared()
         elif call_faults.drop_response:
             self.hang_up()
         else:
             self.reply(status, body)
 
-    async def _block_until_lifted(self) -> None:
+    async def _block_until_cleared(self) -> None:
         while self._endpoint.faults.silent:
             await self._endpoint.changed.wait()
         self.hang_up()
