--- a/chestnuttide/queueing/__init__.py
+++ b/chestnuttide/queueing/__init__.py
@@ -1,4 +1,4 @@
-"""Queues with urgency, fairness, quotas, deadlines and learned run times."""
+"""Fair queues, team quotas, run time estimates and retry limits."""
 
 from chestnuttide.queueing import _backoff
 from chestnuttide.queueing import _estimates
--- a/chestnuttide/queueing/_estimates.py
+++ b/chestnuttide/queueing/_estimates.py
@@ -1,38 +1,38 @@
-"""Run times learned by class of work.
+"""Run time estimates by workload class, learned from successful runs.
 
-Run times and their ratio to the declared ones are kept as histograms with
-logarithmic buckets whose weights decay with each sample. Quantiles of these
-are hardly moved by stragglers that run many times longer than the rest.
+Run times and their ratios to the declared ones are stored in histograms with
+logarithmic buckets whose weights decay with each sample. Their quantiles are
+robust against stragglers that run many times longer than the rest.
 """
 
 import math
 
 import attrs
 
-# Each bucket is 10% wider than the one before, so a quantile is at most 5%
-# off.
+# Ratio of adjacent buckets; limits the error of a quantile to 5%.
 BUCKET_RATIO = 1.1
 
-# Smallest value that is told apart: 1 ms, or a ratio of 0.001.
-SMALLEST = 0.001
+# Smallest distinguishable value: 1 ms of run time, or a ratio of 0.001.
+MIN_VALUE = 0.001
 
-# Weight of a sample relative to the one after it. The last 100 samples carry
-# 63% of the weight, so a class whose run time changes is learned anew soon.
-DECAY = 0.99
+# Weight of a sample relative to the next one. The last 100 samples have 63% of
+# the total weight, so estimates follow a change of run times soon.
+WEIGHT_DECAY = 0.99
 
-# Weights are scaled down before they exceed the range of a float.
+# Weight above which all weights are scaled down, to stay within the range of a
+# float.
 RESCALE_WEIGHT = 1e100
 
-# Samples after which learned run times replace declared ones.
+# Number of samples from which learned run times replace declared ones.
 MIN_SAMPLES = 8
 
-# Samples of the ratio after which declared run times are corrected.
+# Number of ratio samples from which declared run times are corrected.
 MIN_RATIO_SAMPLES = 3
 
-# Expected run time in seconds when nothing is declared or learned.
+# Expected run time in seconds when none is declared or learned.
 DEFAULT_RUN_S = 10.0
 
-# Ratio of p90 to the median before it is learned.
+# Ratio of p90 to the median that is assumed until both are learned.
 DEFAULT_SPREAD = 2.0
 
 _LOG_RATIO = math.log(BUCKET_RATIO)
@@ -40,16 +40,17 @@
 
 @attrs.define(kw_only=True)
 class Histogram:
-    """A decaying histogram with logarithmic buckets.
+    """A histogram with logarithmic buckets and decaying weights.
 
     Attributes
     ----------
     weights : dict of int to float
         Weight by bucket.
     next_weight : float
-        Weight of the next sample; grows instead of letting all others shrink.
+        Weight of the next sample; it grows, so that earlier weights need not
+        be reduced.
     samples : int
-        Samples seen.
+        Number of samples added.
     """
 
     weights: dict[int, float] = attrs.field(factory=dict)
@@ -59,7 +60,7 @@
 
 @attrs.define(kw_only=True)
 class ClassEstimate:
-    """What is learned about one class.
+    """Learned run times of one workload class.
 
     Attributes
     ----------
@@ -87,7 +88,7 @@
     Attributes
     ----------
     classes : dict of str to ClassEstimate
-        By class of work.
+        Learned run times by workload class.
     """
 
     classes: dict[str, ClassEstimate] = attrs.field(factory=dict)
@@ -95,14 +96,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Expectation:
-    """Expected run time of a piece of work.
+    """Expected run time of a task.
 
     Attributes
     ----------
     median_s, p90_s : float
-        Seconds that half, or nine tenths, of such work takes at most.
+        Median and 90th percentile of the run time, in seconds.
     learned : bool
-        Whether it comes from observed run times.
+        Whether it is based on observed run times.
     """
 
     median_s: float
@@ -116,18 +117,18 @@
     run_s: float,
     declared_s: float = 0.0,
 ) -> None:
-    """Learn from one run that succeeded.
+    """Record the run time of a successful run.
 
     Parameters
     ----------
     estimates : Estimates
         Learned run times.
     workload_class : str
-        Class of the work.
+        Workload class of the run.
     run_s : float
         Observed run time in seconds.
     declared_s : float
-        Declared run time in seconds; 0 when not declared.
+        Declared run time in seconds; 0 if none is declared.
     """
     learned = estimates.classes.get(workload_class)
     if learned is None:
@@ -142,10 +143,10 @@
 def expect(
     estimates: Estimates, workload_class: str, declared_s: float = 0.0
 ) -> Expectation:
-    """Return the expected run time of work of a class.
+    """Return the expected run time of a task of a workload class.
 
-    Before enough runs were observed, this is the declared run time corrected
-    by the class's learned ratio.
+    Until enough runs were observed, this is the declared run time, corrected
+    by the learned ratio of the class.
     """
     learned = estimates.classes.get(workload_class)
     if learned is not None and learned.runs.samples >= MIN_SAMPLES:
@@ -164,15 +165,15 @@
 
 
 def add_sample(histogram: Histogram, value: float) -> None:
-    """Add a sample and let the older ones decay."""
-    bucket = round(math.log(max(value, SMALLEST)) / _LOG_RATIO)
+    """Add a sample and decay the weights of earlier ones."""
+    bucket = round(math.log(max(value, MIN_VALUE)) / _LOG_RATIO)
     weights = histogram.weights
     weights[bucket] = weights.get(bucket, 0.0) + histogram.next_weight
-    histogram.next_weight /= DECAY
+    histogram.next_weight /= WEIGHT_DECAY
     histogram.samples += 1
     if histogram.next_weight > RESCALE_WEIGHT:
         scale = 1.0 / histogram.next_weight
-        # A weight that underflows to 0 carries no information any more.
+        # Weights that underflow to 0 are dropped.
         histogram.weights = {
             key: weight * scale
             for key, weight in weights.items()
@@ -184,7 +185,7 @@
 def quantiles(
     histogram: Histogram, shares: tuple[float, ...]
 ) -> tuple[float, ...]:
-    """Return the values below which the given shares of weight lie.
+    """Return the quantiles at the given shares of the total weight.
 
     Parameters
     ----------
@@ -199,23 +200,23 @@
         One value for each share.
     """
     total = sum(histogram.weights.values())
-    found = []
+    values_at = []
     below = 0.0
     bucket = 0
     buckets = iter(sorted(histogram.weights.items()))
     for share in shares:
         while below < share * total:
-            following = next(buckets, None)
-            if following is None:
+            next_bucket = next(buckets, None)
+            if next_bucket is None:
                 break
-            bucket, weight = following
+            bucket, weight = next_bucket
             below += weight
-        found.append(math.exp(bucket * _LOG_RATIO))
-    return tuple(found)
+        values_at.append(math.exp(bucket * _LOG_RATIO))
+    return tuple(values_at)
 
 
 def dump_estimates(estimates: Estimates) -> dict[str, list]:
-    """Return the learned run times as plain values."""
+    """Return the learned run times as a structure of plain values."""
     return {
         name: [
             _dump_histogram(learned.runs),
@@ -226,7 +227,7 @@
 
 
 def load_estimates(values: dict[str, list]) -> Estimates:
-    """Return the learned run times of their plain values."""
+    """Return the learned run times from a result of `dump_estimates`."""
     estimates = Estimates()
     for name, (runs, ratios) in values.items():
         learned = ClassEstimate(
@@ -243,7 +244,7 @@
 
 
 def _dump_histogram(histogram: Histogram) -> list:
-    """Return a histogram as plain values, scaled to small numbers."""
+    """Return a histogram as plain values, with the next weight scaled to 1."""
     scale = 1.0 / histogram.next_weight
     return [
         histogram.samples,
@@ -255,5 +256,5 @@
 
 
 def _load_histogram(values: list) -> Histogram:
-    """Return the histogram of its plain values."""
+    """Return the histogram from its plain values."""
     return Histogram(samples=values[0], weights=dict(values[1]))
--- a/chestnuttide/queueing/_fair_queue.py
+++ b/chestnuttide/queueing/_fair_queue.py
@@ -1,9 +1,9 @@
-"""A queue with urgency, weighted fair shares, deadlines and backfill.
+"""A weighted fair queue with urgent items, deadlines and backfill.
 
-Order: urgent items first; then the team with the lowest virtual time (cost
-served divided by weight); within a team, short expected runs first, with
-ageing. Items are also split into lanes, chosen by the caller, so that one lane
-that cannot proceed does not hide the others.
+Urgent items go first, then those of the team with the lowest virtual time
+(served cost divided by weight). Within a team, items with short expected run
+times go first, with ageing. Items are also divided into lanes, which the user
+of the queue chooses, so that a blocked lane does not hide the others.
 """
 
 import collections.abc
@@ -15,46 +15,46 @@
 
 from chestnuttide import errors
 
-# An item may be overtaken only by items that entered at most this many
-# seconds later, so long work cannot starve.
+# An item can be overtaken only by items of its team that entered at most this
+# many seconds later, so long work does not starve.
 MAX_AGEING_S = 120.0
 
-# Seconds of ageing per second of expected run time.
+# Seconds that an item is moved back per second of expected run time.
 AGEING_RATIO = 1.0
 
-# Tombstones kept in a heap before it is rebuilt, so that small heaps are not
-# rebuilt all the time.
+# Number of tombstones (entries of removed items) that are always allowed in a
+# heap, so that small heaps are not rebuilt all the time.
 MIN_TOMBSTONES = 64
 
-# Heap nodes that a walk visits for each item it may return; bounds the work
-# when many tombstones lie between live items.
+# Number of heap nodes that a traversal visits per item it may return; bounds
+# the work when there are many tombstones between live items.
 VISITS_PER_ITEM = 8
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class QueueItem:
-    """Something that waits.
+    """An item that waits in a queue.
 
     Attributes
     ----------
     key : str
         Unique key of the item.
     team : str
-        Team that is charged.
+        Team that the cost is charged to.
     urgent : bool
-        Whether it goes before all that is not urgent.
+        Whether it goes before all items that are not urgent.
     cost : float
-        Charge on the team's virtual time when it is served; above 0.
+        Cost charged to the team when it is served; above 0.
     workload_class : str
-        Class of work, for counting.
+        Workload class, for `FairQueue.class_counts`.
     expected_s : float
         Expected run time in seconds.
     entered_at : float
-        Time at which it began to wait, in seconds.
+        Time at which it started to wait, in seconds.
     deadline : float
-        Time at which the wait ends; infinity for none.
+        Time at which the item expires; infinite for none.
     lane : str
-        Group of items that proceed or are held together.
+        Group of items that may proceed or are blocked together.
     """
 
     key: str
@@ -73,15 +73,15 @@
 
 
 @attrs.define(kw_only=True)
-class _Line:
+class _TeamQueue:
     """Items of one team in one band.
 
     Attributes
     ----------
     heap : list
-        Entries by score; may contain tombstones.
+        Entries by sort key; may contain tombstones.
     live : int
-        Entries that are no tombstones.
+        Number of entries that are not tombstones.
     """
 
     heap: list[_Entry] = attrs.field(factory=list)
@@ -90,17 +90,17 @@
 
 @attrs.define(kw_only=True)
 class _Band:
-    """Lines of all teams with one urgency and one lane.
+    """Items of all teams with one urgency and one lane.
 
     Attributes
     ----------
-    lines : dict of str to _Line
-        Lines by team; only teams with live items.
+    team_queues : dict of str to _TeamQueue
+        Items by team, without teams that have no live items.
     order : SortedList
-        ``(virtual time, team)`` of the teams that may proceed.
+        ``(virtual time, team)`` of the teams that are not blocked.
     """
 
-    lines: dict[str, _Line] = attrs.field(factory=dict)
+    team_queues: dict[str, _TeamQueue] = attrs.field(factory=dict)
     order: sortedcontainers.SortedList = attrs.field(
         factory=sortedcontainers.SortedList
     )
@@ -108,18 +108,18 @@
 
 @attrs.define(kw_only=True)
 class _Team:
-    """Share of one team.
+    """Fair-share state of one team.
 
     Attributes
     ----------
     virtual_time : float
-        Cost served divided by weight.
+        Served cost divided by weight.
     weight : float
-        Share against other teams.
+        Share relative to other teams.
     waiting : int
-        Live items of the team.
+        Number of live items of the team.
     blocked : bool
-        Whether the team is left out.
+        Whether the team is left out of the order of service.
     """
 
     virtual_time: float = 0.0
@@ -135,24 +135,24 @@
     Attributes
     ----------
     limit : int
-        Most items that may wait.
+        Maximum number of waiting items.
     items : dict
         Live items by key, with their sequence numbers.
     bands : dict
         Bands by urgency and lane.
     teams : dict
-        Shares by team.
+        Fair-share state by team.
     deadlines : list
         Heap of ``(deadline, sequence, key)``; may contain tombstones.
     class_counts : dict
-        Live items by workload class.
+        Number of live items by workload class.
     lane_counts : dict
-        Live items by urgency and lane.
+        Number of live items by urgency and lane.
     virtual_time : float
-        Virtual time of the team served last; a team that was idle starts
-        there, so that it cannot save up a claim.
+        Highest virtual time at which a team was served; a team that was idle
+        starts there, so that it cannot accumulate a claim.
     sequence : int
-        Number of the next item.
+        Sequence number of the last item.
     """
 
     limit: int
@@ -169,9 +169,9 @@
 def set_weights(
     queue: FairQueue, weights: collections.abc.Mapping[str, float]
 ) -> None:
-    """Set the weights of teams; teams that are not named keep theirs."""
+    """Set the weights of teams; other teams keep theirs."""
     for name, weight in weights.items():
-        _team(queue, name).weight = weight
+        _get_team(queue, name).weight = weight
 
 
 def push(
@@ -188,12 +188,11 @@
     queue : FairQueue
         The queue.
     item : QueueItem
-        The item; its key must not be in the queue.
+        The item; its key must not be in the queue yet.
     team_limit : int
-        Most items of the team that may wait; 0 for no limit.
+        Maximum number of waiting items of the team; 0 for no limit.
     forced : bool
-        Whether the limits are passed over, for accepted work that waits
-        again.
+        Whether to ignore the limits, for accepted work that is queued again.
 
     Raises
     ------
@@ -203,10 +202,10 @@
     if item.key in queue.items:
         raise errors.RefusedError(
             reason=errors.Reason.DUPLICATE_ID,
-            message=f"{item.key} already waits.",
+            message=f"{item.key} is already queued.",
             remedy="Use a new id for each piece of work.",
         )
-    team = _team(queue, item.team)
+    team = _get_team(queue, item.team)
     if not forced:
         _check_limits(queue, item, team, team_limit)
     queue.sequence += 1
@@ -219,27 +218,27 @@
     band = queue.bands.get(key)
     if band is None:
         band = queue.bands[key] = _Band()
-    line = band.lines.get(item.team)
-    if line is None:
-        line = band.lines[item.team] = _Line()
+    team_queue = band.team_queues.get(item.team)
+    if team_queue is None:
+        team_queue = band.team_queues[item.team] = _TeamQueue()
         if not team.blocked:
             band.order.add((team.virtual_time, item.team))
-    heapq.heappush(line.heap, (_score(item), sequence, item.key))
-    line.live += 1
+    heapq.heappush(team_queue.heap, (_sort_key(item), sequence, item.key))
+    team_queue.live += 1
     if item.deadline != math.inf:
         heapq.heappush(queue.deadlines, (item.deadline, sequence, item.key))
-    _count(queue, item, 1)
+    _update_counts(queue, item, 1)
 
 
 def cancel(queue: FairQueue, key: str) -> QueueItem | None:
     """Remove an item without charging its team.
 
-    The entry in the heap becomes a tombstone; the cost is amortised O(1).
+    Its heap entry becomes a tombstone, so the cost is amortised O(1).
 
     Returns
     -------
     QueueItem or None
-        The item, or None when it does not wait.
+        The item, or None if it is not in the queue.
     """
     found = queue.items.pop(key, None)
     if found is None:
@@ -247,19 +246,21 @@
     item = found[0]
     team = queue.teams[item.team]
     team.waiting -= 1
-    _count(queue, item, -1)
+    _update_counts(queue, item, -1)
     band = queue.bands[(item.urgent, item.lane)]
-    line = band.lines[item.team]
-    line.live -= 1
-    if line.live == 0:
-        del band.lines[item.team]
+    team_queue = band.team_queues[item.team]
+    team_queue.live -= 1
+    if team_queue.live == 0:
+        del band.team_queues[item.team]
         if not team.blocked:
             band.order.remove((team.virtual_time, item.team))
-        if not band.lines:
+        if not band.team_queues:
             del queue.bands[(item.urgent, item.lane)]
-    elif len(line.heap) > 2 * line.live + MIN_TOMBSTONES:
-        line.heap = [entry for entry in line.heap if _is_live(queue, entry)]
-        heapq.heapify(line.heap)
+    elif len(team_queue.heap) > 2 * team_queue.live + MIN_TOMBSTONES:
+        team_queue.heap = [
+            entry for entry in team_queue.heap if _is_live(queue, entry)
+        ]
+        heapq.heapify(team_queue.heap)
     if len(queue.deadlines) > 2 * len(queue.items) + MIN_TOMBSTONES:
         queue.deadlines = [
             entry for entry in queue.deadlines if _is_live(queue, entry)
@@ -288,22 +289,23 @@
 ) -> list[QueueItem]:
     """Return the next items in the order of service without removing them.
 
-    The order is that in which they would be served if each were popped, so a
-    caller can try them in turn when the head does not fit.
+    The order is that in which successive calls of `pop` would return them, so
+    that the items after the head can be tried when the head does not fit.
 
     Parameters
     ----------
     queue : FairQueue
         The queue.
     limit : int
-        Most items to return.
+        Maximum number of items to return.
     skipped_lanes : set of str
         Lanes to leave out.
 
     Returns
     -------
     list of QueueItem
-        At most `limit` items; fewer when many tombstones lie between.
+        At most `limit` items; fewer if there are many tombstones between
+        them.
     """
     found: list[QueueItem] = []
     for urgent in (True, False):
@@ -313,16 +315,16 @@
             if band_urgent == urgent and lane not in skipped_lanes
         ]
         if limit == 1:
-            _find_head(queue, bands, found)
+            _append_head(queue, bands, found)
         elif bands:
-            _walk_bands(queue, bands, limit, found)
+            _append_in_service_order(queue, bands, limit, found)
         if len(found) >= limit:
             break
     return found
 
 
 def peek(queue: FairQueue) -> QueueItem | None:
-    """Return the head of the queue, or None when nothing may proceed."""
+    """Return the head of the queue, or None if no item may proceed."""
     if not queue.items:
         return None
     heads = candidates(queue, 1)
@@ -342,7 +344,7 @@
     Returns
     -------
     QueueItem or None
-        The item, or None when there is none.
+        The item, or None if there is none.
     """
     if key is None:
         head = peek(queue)
@@ -359,35 +361,37 @@
 def charge(queue: FairQueue, team_name: str, cost: float) -> None:
     """Add a cost to a team's virtual time.
 
-    A negative cost gives back what was charged too much, for example after a
-    run that was shorter than expected.
+    A negative cost refunds an excess charge, for example after a run that was
+    shorter than expected.
     """
-    team = _team(queue, team_name)
+    team = _get_team(queue, team_name)
     if cost > 0 and team.virtual_time > queue.virtual_time:
         queue.virtual_time = team.virtual_time
-    _move(queue, team_name, team, team.virtual_time + cost / team.weight)
+    _set_virtual_time(
+        queue, team_name, team, team.virtual_time + cost / team.weight
+    )
 
 
 def block_team(queue: FairQueue, team_name: str) -> None:
-    """Leave a team out of the order, for example at its quota."""
-    team = _team(queue, team_name)
+    """Leave a team out of the order of service, for example at its quota."""
+    team = _get_team(queue, team_name)
     if team.blocked:
         return
     for band in queue.bands.values():
-        if team_name in band.lines:
+        if team_name in band.team_queues:
             band.order.remove((team.virtual_time, team_name))
     team.blocked = True
 
 
 def unblock_team(queue: FairQueue, team_name: str) -> bool:
-    """Take a team into the order again; returns whether it was left out."""
-    team = _team(queue, team_name)
+    """Return a team to the order of service; tells whether it was blocked."""
+    team = _get_team(queue, team_name)
     if not team.blocked:
         return False
     team.blocked = False
     team.virtual_time = max(team.virtual_time, queue.virtual_time)
     for band in queue.bands.values():
-        if team_name in band.lines:
+        if team_name in band.team_queues:
             band.order.add((team.virtual_time, team_name))
     return True
 
@@ -395,55 +399,55 @@
 def _check_limits(
     queue: FairQueue, item: QueueItem, team: _Team, team_limit: int
 ) -> None:
-    """Raise the refusal of an item that exceeds a limit."""
+    """Raise `RefusedError` if the item would exceed a limit."""
     if len(queue.items) >= queue.limit:
         raise errors.RefusedError(
             reason=errors.Reason.QUEUE_FULL,
-            message=f"{queue.limit} items already wait.",
+            message=f"The queue has reached its limit of {queue.limit} items.",
             remedy="Try again later, or raise the queue limit.",
         )
     if team_limit and team.waiting >= team_limit:
         raise errors.RefusedError(
             reason=errors.Reason.QUOTA_EXCEEDED,
-            message=f"Team {item.team} already has {team_limit} waiting.",
+            message=f"Team {item.team} already has {team_limit} items queued.",
             remedy="Try again later, or raise the team's limit.",
         )
 
 
-def _team(queue: FairQueue, name: str) -> _Team:
-    """Return the share of a team, made when it is new."""
+def _get_team(queue: FairQueue, name: str) -> _Team:
+    """Return the fair-share state of a team, created if it is new."""
     team = queue.teams.get(name)
     if team is None:
         team = queue.teams[name] = _Team(virtual_time=queue.virtual_time)
     return team
 
 
-def _move(
+def _set_virtual_time(
     queue: FairQueue, name: str, team: _Team, virtual_time: float
 ) -> None:
-    """Set the virtual time of a team and its place in each band."""
+    """Set the virtual time of a team and update its position in the bands."""
     if not team.blocked:
         for band in queue.bands.values():
-            if name in band.lines:
+            if name in band.team_queues:
                 band.order.remove((team.virtual_time, name))
                 band.order.add((virtual_time, name))
     team.virtual_time = virtual_time
 
 
-def _score(item: QueueItem) -> float:
-    """Return the place of an item within its team; lower goes first."""
+def _sort_key(item: QueueItem) -> float:
+    """Return the sort key of an item within its team; lowest goes first."""
     ageing = min(item.expected_s * AGEING_RATIO, MAX_AGEING_S)
     return item.entered_at + ageing
 
 
 def _is_live(queue: FairQueue, entry: _Entry) -> bool:
-    """Return whether an entry of a heap is no tombstone."""
+    """Return whether a heap entry is not a tombstone."""
     found = queue.items.get(entry[2])
     return found is not None and found[1] == entry[1]
 
 
-def _count(queue: FairQueue, item: QueueItem, change: int) -> None:
-    """Add to the counters of the item's class and band."""
+def _update_counts(queue: FairQueue, item: QueueItem, change: int) -> None:
+    """Change the counts of the class and band of an item."""
     counts = queue.class_counts
     counts[item.workload_class] = counts.get(item.workload_class, 0) + change
     if not counts[item.workload_class]:
@@ -454,11 +458,11 @@
         del queue.lane_counts[key]
 
 
-def _walk_line(
-    queue: FairQueue, line: _Line, visits: int
+def _iter_team_queue(
+    queue: FairQueue, team_queue: _TeamQueue, visits: int
 ) -> collections.abc.Iterator[tuple[float, int, QueueItem]]:
-    """Yield score, sequence and item of a line's live entries, in order."""
-    heap = line.heap
+    """Yield sort key, sequence number and item of live entries, in order."""
+    heap = team_queue.heap
     while heap and not _is_live(queue, heap[0]):
         heapq.heappop(heap)
     frontier = [(heap[0], 0)] if heap else []
@@ -473,19 +477,22 @@
             yield entry[0], entry[1], found[0]
 
 
-def _find_head(
+def _append_head(
     queue: FairQueue, bands: list[_Band], found: list[QueueItem]
 ) -> None:
-    """Append the head of some bands; the same as a walk of length 1."""
+    """Append the first item of some bands.
+
+    Equivalent to `_append_in_service_order` with a limit of 1, but faster.
+    """
     first = min((band.order[0] for band in bands if band.order), default=None)
     if first is None:
         return
     best: _Entry | None = None
     for band in bands:
-        line = band.lines.get(first[1])
-        if line is None:
+        team_queue = band.team_queues.get(first[1])
+        if team_queue is None:
             continue
-        heap = line.heap
+        heap = team_queue.heap
         while not _is_live(queue, heap[0]):
             heapq.heappop(heap)
         if best is None or heap[0] < best:
@@ -494,17 +501,24 @@
         found.append(queue.items[best[2]][0])
 
 
-def _team_items(
+def _iter_team_items(
     queue: FairQueue, bands: list[_Band], name: str, visits: int
 ) -> collections.abc.Iterator[tuple[float, int, QueueItem]]:
-    """Yield a team's live items over some bands, in order."""
-    lines = [band.lines[name] for band in bands if name in band.lines]
-    if len(lines) == 1:
-        return _walk_line(queue, lines[0], visits)
-    return heapq.merge(*(_walk_line(queue, line, visits) for line in lines))
+    """Yield the live items of a team in some bands, in order."""
+    team_queues = [
+        band.team_queues[name] for band in bands if name in band.team_queues
+    ]
+    if len(team_queues) == 1:
+        return _iter_team_queue(queue, team_queues[0], visits)
+    return heapq.merge(
+        *(
+            _iter_team_queue(queue, team_queue, visits)
+            for team_queue in team_queues
+        )
+    )
 
 
-def _walk_bands(
+def _append_in_service_order(
     queue: FairQueue, bands: list[_Band], limit: int, found: list[QueueItem]
 ) -> None:
     """Append the next items of some bands, as if each were served in turn."""
@@ -514,29 +528,36 @@
         if len(bands) == 1
         else heapq.merge(*(band.order for band in bands))
     )
-    following = next(teams, None)
-    seen = set()
-    # Teams whose next item is known: virtual time, name, items.
-    served: list[tuple[float, str, QueueItem, collections.abc.Iterator]] = []
-    while len(found) < limit and (served or following is not None):
-        if served and (following is None or served[0][:2] < following):
-            virtual_time, name, item, items = served[0]
+    next_team = next(teams, None)
+    seen_teams = set()
+    # Heap of the teams whose next item is known: virtual time, name, next
+    # item, later items.
+    pending_teams: list[
+        tuple[float, str, QueueItem, collections.abc.Iterator]
+    ] = []
+    while len(found) < limit and (pending_teams or next_team is not None):
+        if pending_teams and (
+            next_team is None or pending_teams[0][:2] < next_team
+        ):
+            virtual_time, name, item, items = pending_teams[0]
             found.append(item)
             entry = next(items, None)
             if entry is None:
-                heapq.heappop(served)
+                heapq.heappop(pending_teams)
             else:
                 virtual_time += item.cost / queue.teams[name].weight
                 heapq.heapreplace(
-                    served, (virtual_time, name, entry[2], items)
+                    pending_teams, (virtual_time, name, entry[2], items)
                 )
             continue
-        virtual_time, name = following
-        following = next(teams, None)
-        if name in seen:
+        virtual_time, name = next_team
+        next_team = next(teams, None)
+        if name in seen_teams:
             continue
-        seen.add(name)
-        items = _team_items(queue, bands, name, visits)
+        seen_teams.add(name)
+        items = _iter_team_items(queue, bands, name, visits)
         entry = next(items, None)
         if entry is not None:
-            heapq.heappush(served, (virtual_time, name, entry[2], items))
+            heapq.heappush(
+                pending_teams, (virtual_time, name, entry[2], items)
+            )
--- a/chestnuttide/queueing/_quota.py
+++ b/chestnuttide/queueing/_quota.py
@@ -1,4 +1,4 @@
-"""Resources that each team holds, against its quota."""
+"""Resource usage of teams and its quotas."""
 
 import attrs
 
@@ -8,24 +8,24 @@
 
 @attrs.define(kw_only=True)
 class QuotaState:
-    """What each team holds.
+    """Resources in use by team.
 
     Attributes
     ----------
     held : dict of str to Resources
-        Amount held by team; teams that hold nothing are left out.
+        Amount in use by team, without teams that use nothing.
     """
 
     held: dict[str, model.Resources] = attrs.field(factory=dict)
 
 
 def acquire(quota: QuotaState, team: str, amount: model.Resources) -> None:
-    """Add an amount to what a team holds."""
+    """Add an amount to the usage of a team."""
     quota.held[team] = model.add(quota.held.get(team, model.ZERO), amount)
 
 
 def release(quota: QuotaState, team: str, amount: model.Resources) -> None:
-    """Take an amount off what a team holds."""
+    """Subtract an amount from the usage of a team."""
     left = model.subtract(quota.held.get(team, model.ZERO), amount)
     if left == model.ZERO:
         quota.held.pop(team, None)
@@ -39,29 +39,29 @@
     limits: config.TeamConfig,
     amount: model.Resources,
 ) -> bool:
-    """Return whether a team may hold an amount in addition.
+    """Return whether a team may use an additional amount.
 
     Parameters
     ----------
     quota : QuotaState
-        What each team holds.
+        Resources in use by team.
     team : str
         The team.
     limits : TeamConfig
-        Its limits; 0 in a dimension means no limit.
+        Limits of the team; 0 in a dimension means no limit.
     amount : Resources
-        The amount in addition.
+        The additional amount.
 
     Returns
     -------
     bool
-        Whether the sum is within the limit in every dimension.
+        Whether the sum is within the limit in each dimension.
     """
     held = quota.held.get(team, model.ZERO)
     return (
-        _within(held.cpu_millis + amount.cpu_millis, limits.cpu_millis)
-        and _within(held.memory_mb + amount.memory_mb, limits.memory_mb)
-        and _within(
+        _within_limit(held.cpu_millis + amount.cpu_millis, limits.cpu_millis)
+        and _within_limit(held.memory_mb + amount.memory_mb, limits.memory_mb)
+        and _within_limit(
             held.accelerators + amount.accelerators, limits.accelerators
         )
     )
@@ -70,10 +70,10 @@
 def could_ever_allow(
     limits: config.TeamConfig, amount: model.Resources
 ) -> bool:
-    """Return whether an amount is within the quota of an idle team."""
+    """Return whether an amount is within the quota of a team without usage."""
     return allows(QuotaState(), "", limits, amount)
 
 
-def _within(amount: int, limit: int) -> bool:
+def _within_limit(amount: int, limit: int) -> bool:
     """Return whether an amount is within a limit; 0 means no limit."""
     return limit == 0 or amount <= limit
--- a/chestnuttide/queueing/tests/test_fair_queue.py
+++ b/chestnuttide/queueing/tests/test_fair_queue.py
@@ -27,7 +27,7 @@
             [_item("1"), _item("2", urgent=True)],
             {},
             ["2", "1"],
-            id="urgent_waits_behind_others",
+            id="urgent_item_waits_behind_others",
         ),
         pytest.param(
             [_item("1"), _item("2"), _item("3", team="b")],
@@ -46,7 +46,7 @@
             [_item("1", expected_s=50.0), _item("2", expected_s=1.0)],
             {},
             ["2", "1"],
-            id="short_waits_behind_long",
+            id="short_item_waits_behind_long_item",
         ),
         pytest.param(
             [
@@ -55,7 +55,7 @@
             ],
             {},
             ["1", "2"],
-            id="long_starves_behind_later_short",
+            id="long_item_starves_behind_later_short_items",
         ),
     ],
 )
@@ -76,9 +76,11 @@
 @pytest.mark.parametrize(
     ("limits", "reason"),
     [
-        pytest.param((1, 0), errors.Reason.QUEUE_FULL, id="queue_unbounded"),
         pytest.param(
-            (9, 1), errors.Reason.QUOTA_EXCEEDED, id="team_unbounded"
+            (1, 0), errors.Reason.QUEUE_FULL, id="queue_is_unbounded"
+        ),
+        pytest.param(
+            (9, 1), errors.Reason.QUOTA_EXCEEDED, id="team_is_unbounded"
         ),
     ],
 )
@@ -92,7 +94,7 @@
     assert len(queue.items) == 2
 
 
-def test_blocked_team_hides_no_other() -> None:
+def test_blocked_team_does_not_hide_others() -> None:
     queue = queueing.FairQueue(limit=100)
     for number in range(50):
         queueing.push(queue, _item(f"a{number}"))
@@ -104,7 +106,7 @@
     assert len(queueing.candidates(queue, 100)) == 52
 
 
-def test_lane_that_cannot_proceed_hides_no_other() -> None:
+def test_blocked_lane_does_not_hide_others() -> None:
     queue = queueing.FairQueue(limit=1000)
     for number in range(500):
         queueing.push(queue, _item(f"l{number}", lane="long"))
@@ -113,7 +115,7 @@
     assert [item.key for item in window] == ["s"]
 
 
-def test_idle_team_saves_up_no_claim() -> None:
+def test_idle_team_accumulates_no_claim() -> None:
     queue = queueing.FairQueue(limit=1000)
     queueing.push(queue, _item("b", team="b"))
     queueing.pop(queue)
@@ -127,7 +129,7 @@
     assert first.count("a") >= 4
 
 
-def test_ten_thousand_cancels_leave_no_tombstones() -> None:
+def test_cancelled_items_do_not_accumulate_as_tombstones() -> None:
     queue = queueing.FairQueue(limit=100_000)
     for number in range(10_001):
         queueing.push(queue, _item(str(number), deadline=100.0 + number))
@@ -139,7 +141,7 @@
     assert not queue.items
 
 
-def test_expiry_takes_only_what_is_due() -> None:
+def test_only_due_items_expire() -> None:
     queue = queueing.FairQueue(limit=10)
     for key, deadline in (("1", 5.0), ("2", 3.0), ("3", math.inf)):
         queueing.push(queue, _item(key, deadline=deadline))
@@ -162,7 +164,7 @@
         max_size=80,
     )
 )
-def test_nothing_is_lost_or_served_twice(
+def test_no_item_is_lost_or_served_twice(
     steps: list[tuple[str, int, int]],
 ) -> None:
     queue = queueing.FairQueue(limit=1000)
--- a/chestnuttide/queueing/tests/test_limits.py
+++ b/chestnuttide/queueing/tests/test_limits.py
@@ -10,12 +10,19 @@
 @pytest.mark.parametrize(
     ("limits", "amount", "allowed"),
     [
-        pytest.param({}, (9, 9, 9), True, id="zero_means_no_quota"),
-        pytest.param({"cpu_millis": 10}, (5, 0, 0), True, id="edge_refused"),
+        pytest.param({}, (9, 9, 9), True, id="zero_is_taken_as_a_limit"),
+        pytest.param(
+            {"cpu_millis": 10},
+            (5, 0, 0),
+            True,
+            id="amount_at_the_limit_is_refused",
+        ),
         pytest.param({"cpu_millis": 10}, (6, 0, 0), False, id="cpu_unchecked"),
-        pytest.param({"memory_mb": 10}, (0, 6, 0), False, id="mem_unchecked"),
         pytest.param(
-            {"accelerators": 10}, (0, 0, 6), False, id="acc_unchecked"
+            {"memory_mb": 10}, (0, 6, 0), False, id="memory_unchecked"
+        ),
+        pytest.param(
+            {"accelerators": 10}, (0, 0, 6), False, id="accelerators_unchecked"
         ),
     ],
 )
@@ -39,10 +46,10 @@
 @pytest.mark.parametrize(
     ("requests", "tries", "seconds", "expected"),
     [
-        pytest.param(0, 100, 0.0, 10, id="floor_missing"),
-        pytest.param(200, 100, 0.0, 30, id="share_missing"),
-        pytest.param(10**5, 1000, 0.0, 110, id="quiet_period_saved_up"),
-        pytest.param(0, 100, 5.5, 15, id="floor_is_not_refilled"),
+        pytest.param(0, 100, 0.0, 10, id="minimum_rate_is_missing"),
+        pytest.param(200, 100, 0.0, 30, id="share_of_requests_is_missing"),
+        pytest.param(10**5, 1000, 0.0, 110, id="quiet_period_accumulates"),
+        pytest.param(0, 100, 5.5, 15, id="minimum_rate_is_not_refilled"),
     ],
 )
 def test_retry_budget(
@@ -61,7 +68,7 @@
 @pytest.mark.parametrize(
     ("failures", "low_s", "high_s"),
     [
-        pytest.param(1, 0.66, 1.34, id="first_delay"),
+        pytest.param(1, 0.66, 1.34, id="first_delay_is_off"),
         pytest.param(3, 2.6, 5.4, id="no_doubling"),
         pytest.param(10_000, 5.0, 10.0, id="no_limit_or_overflow"),
     ],
