--- a/chestnuttide/placement/__init__.py
+++ b/chestnuttide/placement/__init__.py
@@ -1,10 +1,10 @@
-"""The cell of workers: where a task fits, and what must make room."""
+"""Placement of tasks on the workers of a pool, preemption and reclaiming."""
 
 from chestnuttide.placement import _cells
 from chestnuttide.placement import _errors
+from chestnuttide.placement import _gang_reservation
 from chestnuttide.placement import _gangs
 from chestnuttide.placement import _health
-from chestnuttide.placement import _holds
 from chestnuttide.placement import _preemption
 from chestnuttide.placement import _reclaim
 from chestnuttide.placement import _scoring
@@ -14,7 +14,7 @@
 CapacityError = _errors.CapacityError
 Cell = _state.Cell
 GangPlan = _state.GangPlan
-HoldConflictError = _errors.HoldConflictError
+GangReservationConflictError = _errors.GangReservationConflictError
 Relief = _reclaim.Relief
 ReliefAction = _reclaim.ReliefAction
 Reservation = _state.Reservation
@@ -31,8 +31,8 @@
 count_task = _scoring.count_task
 free_of = _cells.free_of
 gang_capacity = _scoring.gang_capacity
-held_key = _holds.held_key
-hold = _holds.hold
+held_key = _gang_reservation.held_key
+hold = _gang_reservation.hold
 is_ejected = _health.is_ejected
 largest_worker_fits = _scoring.largest_worker_fits
 make_cell = _cells.make_cell
@@ -43,7 +43,7 @@
 record_outcome = _health.record_outcome
 record_usage = _reclaim.record_usage
 release = _cells.release
-release_hold = _holds.release_hold
+release_hold = _gang_reservation.release_hold
 remove_worker = _cells.remove_worker
 reservation_of = _cells.reservation_of
 reserve = _cells.reserve
@@ -58,7 +58,7 @@
     "CapacityError",
     "Cell",
     "GangPlan",
-    "HoldConflictError",
+    "GangReservationConflictError",
     "Relief",
     "ReliefAction",
     "Reservation",
--- a/chestnuttide/placement/_cells.py
+++ b/chestnuttide/placement/_cells.py
@@ -1,4 +1,4 @@
-"""The cell's workers and the exact reservations on them."""
+"""Workers of a cell and the reservations on them."""
 
 import math
 
@@ -13,67 +13,67 @@
 
 
 def make_cell(pool: config.PoolConfig | None = None) -> _state.Cell:
-    """Return a cell without workers, under the limits of its pool."""
+    """Return a cell without workers, with the limits of its pool."""
     return _state.Cell(limits=pool or config.PoolConfig())
 
 
 def set_limits(cell: _state.Cell, pool: config.PoolConfig) -> None:
-    """Adopt the limits of a new configuration version."""
+    """Apply the limits of a new configuration version."""
     cell.limits = pool
-    _health.enforce_share(cell)
+    _health.enforce_ejection_limit(cell)
 
 
 def upsert_worker(
     cell: _state.Cell, instance: model.Instance, now: float
 ) -> None:
-    """Add a worker, or adopt its new state, place and capacity.
+    """Add a worker, or update its state, location and capacity.
 
-    A worker that is leaving or gone takes no new work and keeps its
-    reservations until they are released. One whose capacity shrank below its
-    reservations takes nothing new either.
+    A worker that is leaving or gone accepts no new work and keeps its
+    reservations until they are released. A worker whose capacity shrank below
+    its reservations accepts no new work either.
     """
     cell.now = max(cell.now, now)
     worker = cell.workers.get(instance.instance_id)
     if worker is None:
         worker = _add_worker(cell, instance.instance_id)
-    _uncount(cell, worker)
+    _remove_from_counts(cell, worker)
     worker.state = instance.state
     worker.capacity = instance.capacity
     worker.data_centre = instance.data_centre
     worker.rack = instance.rack
-    _count(cell, worker)
+    _add_to_counts(cell, worker)
     if instance.state is not model.InstanceState.LIVE:
-        _health.forget(cell, worker)
+        _health.clear_outcomes(cell, worker)
     _refresh(cell, worker)
-    _health.enforce_share(cell)
+    _health.enforce_ejection_limit(cell)
 
 
 def remove_worker(cell: _state.Cell, worker_id: str) -> list[model.Attempt]:
-    """Forget a worker; returns the attempts whose reservations it held."""
+    """Remove a worker; returns the attempts that had reservations on it."""
     worker = cell.workers.get(worker_id)
     if worker is None:
         return []
     attempts = list(worker.reservations)
     for attempt in attempts:
         release(cell, attempt)
-    _uncount(cell, worker)
+    _remove_from_counts(cell, worker)
     worker.state = model.InstanceState.GONE
-    _health.forget(cell, worker)
+    _health.clear_outcomes(cell, worker)
     _refresh(cell, worker)
     del cell.workers[worker_id]
     cell.overcommitted.pop(worker_id, None)
-    _health.enforce_share(cell)
+    _health.enforce_ejection_limit(cell)
     return attempts
 
 
 def worker_ids(cell: _state.Cell) -> list[str]:
-    """Return the ids of all known workers, in the order of their arrival."""
+    """Return the ids of all known workers, in the order they were added."""
     return list(cell.workers)
 
 
 def worker_count(cell: _state.Cell) -> int:
     """Return the number of live workers."""
-    return cell.live
+    return cell.live_count
 
 
 def capacity_total(cell: _state.Cell) -> model.Resources:
@@ -86,7 +86,10 @@
 
 
 def reserved_total(cell: _state.Cell) -> model.Resources:
-    """Return the sum of all reservations that are not reclaimed."""
+    """Return the sum of all reservations that use no reclaimed capacity.
+
+    Accelerators are included for all reservations.
+    """
     return model.Resources(
         cpu_millis=cell.reserved_cpu,
         memory_mb=cell.reserved_memory,
@@ -95,12 +98,13 @@
 
 
 def free_of(cell: _state.Cell, worker_id: str) -> model.Resources:
-    """Return what exact reservations may still take on a worker.
+    """Return the free capacity of a worker.
 
-    It is negative in a dimension that is exceeded after an adoption or a
-    change of capacity. Raises `WorkerUnavailableError` for unknown workers.
+    An amount is negative if the reservations exceed the capacity after an
+    adoption or a change of capacity. Raises `WorkerUnavailableError` for
+    unknown workers.
     """
-    worker = _known(cell, worker_id)
+    worker = _require_worker(cell, worker_id)
     return model.Resources(
         cpu_millis=worker.free_cpu,
         memory_mb=worker.free_memory,
@@ -134,36 +138,37 @@
     attempt : Attempt
         The attempt.
     need : Resources
-        Exact amount.
+        Amount to reserve.
     priority : int
-        Importance; a higher one may evict a lower one.
+        Priority; work of a higher priority may evict it.
     preemptible, checkpoint, throttle, urgent : bool
         See `Reservation`.
     expected_end : float
-        Time in seconds at which it is expected to end; infinite for services.
+        Time in seconds at which it is expected to end; infinite for
+        long-running work.
     reclaimed : bool
-        Whether it uses capacity that others reserved and do not use.
+        Whether it uses capacity that is reserved by others but unused.
     started : float, optional
-        Time in seconds; the latest time given to the cell by default.
+        Start time in seconds; by default the latest time known to the cell.
 
     Raises
     ------
     WorkerUnavailableError
-        The worker is unknown or takes no new work.
+        The worker is unknown or accepts no new work.
     AttemptConflictError
-        The attempt holds a reservation already.
+        The attempt already has a reservation.
     CapacityError
-        The worker has less free, or can lend less, than the need.
+        The free or reclaimable capacity of the worker is less than the need.
     """
-    worker = _known(cell, worker_id)
-    if worker.place is None:
+    worker = _require_worker(cell, worker_id)
+    if worker.position is None:
         raise _errors.WorkerUnavailableError(
-            message=f"Worker {worker_id} takes no new work.",
+            message=f"Worker {worker_id} accepts no new work.",
             remedy="Choose another worker.",
         )
     if attempt in cell.reservations:
         raise _errors.AttemptConflictError(
-            message=f"{attempt} holds a reservation already.",
+            message=f"{attempt} already has a reservation.",
             remedy="Release it first, or use the next attempt number.",
         )
     if reclaimed:
@@ -176,10 +181,10 @@
         or need.accelerators > worker.free_accelerators
     ):
         raise _errors.CapacityError(
-            message=f"Worker {worker_id} has less free than {need}.",
+            message=f"Worker {worker_id} has no free capacity for {need}.",
             remedy="Choose another worker.",
         )
-    _add(
+    _add_reservation(
         cell,
         worker,
         _state.Reservation(
@@ -213,12 +218,12 @@
     started: float,
     reclaimed: bool = False,
 ) -> None:
-    """Record what a worker reports as running, even beyond what is free.
+    """Reserve for an attempt that a worker reports, even beyond its capacity.
 
-    The parameters are those of `reserve`. A worker that is not listed yet is
-    added without capacity, so it takes nothing new. Adopting an attempt again
-    on the same worker replaces its reservation; on another worker it raises
-    `AttemptConflictError`.
+    The parameters are those of `reserve`. An unknown worker is added without
+    capacity, so it accepts no new work until the instance list names it.
+    Adopting an attempt again on the same worker replaces its reservation; on
+    another worker it raises `AttemptConflictError`.
     """
     known = cell.reservations.get(attempt)
     if known is not None:
@@ -234,7 +239,7 @@
     worker = cell.workers.get(worker_id)
     if worker is None:
         worker = _add_worker(cell, worker_id)
-    _add(
+    _add_reservation(
         cell,
         worker,
         _state.Reservation(
@@ -256,17 +261,17 @@
 def release(cell: _state.Cell, attempt: model.Attempt) -> str | None:
     """Release an attempt's reservation.
 
-    Returns the id of its worker, or None if it holds no reservation.
+    Returns the id of its worker, or None if it has no reservation.
     """
     reservation = cell.reservations.pop(attempt, None)
     if reservation is None:
         return None
     worker = cell.workers[reservation.worker_id]
     del worker.reservations[attempt]
-    _sum(cell, worker, reservation, -1)
-    _reclaim.drop_charge(worker, reservation)
+    _update_sums(cell, worker, reservation, -1)
+    _reclaim.remove_usage(worker, reservation)
     if worker.ejected:
-        _health.note_end(worker, attempt)
+        _health.record_end(worker, attempt)
     _refresh(cell, worker)
     return worker.worker_id
 
@@ -284,30 +289,30 @@
     return cell.reservations.get(attempt)
 
 
-def _known(cell: _state.Cell, worker_id: str) -> _state.Worker:
+def _require_worker(cell: _state.Cell, worker_id: str) -> _state.Worker:
     worker = cell.workers.get(worker_id)
     if worker is None:
         raise _errors.WorkerUnavailableError(
             message=f"Worker {worker_id} is unknown.",
-            remedy="Choose a worker of the cell.",
+            remedy="Choose a known worker of the cell.",
         )
     return worker
 
 
 def _add_worker(cell: _state.Cell, worker_id: str) -> _state.Worker:
     worker = cell.workers[worker_id] = _state.Worker(worker_id=worker_id)
-    _count(cell, worker)
+    _add_to_counts(cell, worker)
     return worker
 
 
-def _count(cell: _state.Cell, worker: _state.Worker) -> None:
+def _add_to_counts(cell: _state.Cell, worker: _state.Worker) -> None:
     racks = cell.racks.setdefault(worker.data_centre, {})
     racks[worker.rack] = racks.get(worker.rack, 0) + 1
     if worker.state is model.InstanceState.LIVE:
-        _count_live(cell, worker.capacity, 1)
+        _update_live_totals(cell, worker.capacity, 1)
 
 
-def _uncount(cell: _state.Cell, worker: _state.Worker) -> None:
+def _remove_from_counts(cell: _state.Cell, worker: _state.Worker) -> None:
     racks = cell.racks[worker.data_centre]
     racks[worker.rack] -= 1
     if not racks[worker.rack]:
@@ -315,13 +320,13 @@
         if not racks:
             del cell.racks[worker.data_centre]
     if worker.state is model.InstanceState.LIVE:
-        _count_live(cell, worker.capacity, -1)
+        _update_live_totals(cell, worker.capacity, -1)
 
 
-def _count_live(
+def _update_live_totals(
     cell: _state.Cell, capacity: model.Resources, sign: int
 ) -> None:
-    cell.live += sign
+    cell.live_count += sign
     count = cell.capacities.get(capacity, 0) + sign
     if count:
         cell.capacities[capacity] = count
@@ -332,7 +337,7 @@
     cell.capacity_accelerators += sign * capacity.accelerators
 
 
-def _add(
+def _add_reservation(
     cell: _state.Cell,
     worker: _state.Worker,
     reservation: _state.Reservation,
@@ -340,43 +345,43 @@
     attempt = reservation.attempt
     cell.reservations[attempt] = reservation
     worker.reservations[attempt] = reservation
-    _sum(cell, worker, reservation, 1)
-    _reclaim.add_charge(worker, reservation)
+    _update_sums(cell, worker, reservation, 1)
+    _reclaim.add_usage(worker, reservation)
     if worker.ejected:
-        _health.note_start(worker, attempt)
+        _health.record_start(worker, attempt)
     _refresh(cell, worker)
 
 
-def _sum(
+def _update_sums(
     cell: _state.Cell,
     worker: _state.Worker,
     reservation: _state.Reservation,
     sign: int,
 ) -> None:
-    """Add or take a reservation to or from all sums that include it."""
+    """Add a reservation to all sums that include it, or subtract it."""
     need = reservation.need
     cpu = sign * need.cpu_millis
     memory = sign * need.memory_mb
     accelerators = sign * need.accelerators
     worker.accelerators += accelerators
-    _note_expected_end(cell, reservation, sign)
+    _update_expected_ends(cell, reservation, sign)
     cell.reserved_accelerators += accelerators
     if not reservation.reclaimed:
-        worker.firm_cpu += cpu
-        worker.firm_memory += memory
+        worker.guaranteed_cpu += cpu
+        worker.guaranteed_memory += memory
         cell.reserved_cpu += cpu
         cell.reserved_memory += memory
     if not reservation.throttle:
-        worker.strict_cpu += cpu
-        worker.strict_memory += memory
+        worker.unthrottleable_cpu += cpu
+        worker.unthrottleable_memory += memory
     if not reservation.checkpoint:
-        worker.pinned_memory += memory
+        worker.uncheckpointable_memory += memory
     if not reservation.preemptible:
         return
     priority = reservation.priority
     evictable = worker.evictable.get(priority)
     if evictable is None:
-        evictable = worker.evictable[priority] = _state.Evictable()
+        evictable = worker.evictable[priority] = _state.EvictableTotals()
         cell.preemptible[priority] = cell.preemptible.get(priority, 0) + 1
     evictable.count += sign
     evictable.cpu_millis += cpu
@@ -389,7 +394,7 @@
             del cell.preemptible[priority]
 
 
-def _note_expected_end(
+def _update_expected_ends(
     cell: _state.Cell, reservation: _state.Reservation, sign: int
 ) -> None:
     end = reservation.expected_end
@@ -397,12 +402,12 @@
         return
     second = int(end)
     if sign > 0:
-        cell.ends.setdefault(second, {})[reservation] = None
+        cell.expected_ends.setdefault(second, {})[reservation] = None
         return
-    ends = cell.ends[second]
+    ends = cell.expected_ends[second]
     del ends[reservation]
     if not ends:
-        del cell.ends[second]
+        del cell.expected_ends[second]
 
 
 def _refresh(cell: _state.Cell, worker: _state.Worker) -> None:
--- a/chestnuttide/placement/_errors.py
+++ b/chestnuttide/placement/_errors.py
@@ -4,7 +4,7 @@
 
 
 class CapacityError(errors.SchedulerError):
-    """A reservation would exceed what its worker can still take."""
+    """A reservation would exceed the free capacity of its worker."""
 
     code = "capacity_exceeded"
 
@@ -16,12 +16,12 @@
 
 
 class AttemptConflictError(errors.SchedulerError):
-    """The attempt already holds a reservation."""
+    """The attempt already has a reservation."""
 
     code = "attempt_conflict"
 
 
-class HoldConflictError(errors.SchedulerError):
-    """The cell already holds workers for another gang."""
+class GangReservationConflictError(errors.SchedulerError):
+    """The cell already reserves workers for another gang."""
 
     code = "hold_conflict"
--- a/chestnuttide/placement/_gangs.py
+++ b/chestnuttide/placement/_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: all tasks at once or none, now or at an expected time."""
+"""Placement of gangs: all tasks at once, now or at an expected time."""
 
 import collections.abc
 import operator
@@ -6,22 +6,22 @@
 import attrs
 
 from chestnuttide import model
+from chestnuttide.placement import _gang_reservation
 from chestnuttide.placement import _health
-from chestnuttide.placement import _holds
 from chestnuttide.placement import _index
 from chestnuttide.placement import _scoring
 from chestnuttide.placement import _state
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
-class _Room:
-    """How many more tasks of the gang a worker takes."""
+class _WorkerSlots:
+    """Number of further tasks of the gang that fit on a worker."""
 
     worker_id: str
     data_centre: str
     rack: str
-    left: int
-    taken: int = 0
+    free_slots: int
+    assigned: int = 0
 
 
 def choose_gang(
@@ -39,30 +39,34 @@
     Parameters
     ----------
     cell : Cell
-        The cell; no reservation is made.
+        The cell; nothing is reserved.
     need : Resources
-        What each task needs.
+        Resources that each task needs.
     count : int
         Number of tasks.
     spread : bool
-        Whether they are spread over data centres, racks and workers;
+        Whether the tasks are spread over data centres, racks and workers;
         otherwise they are packed.
     excluded : set of str
-        Workers that are left out.
+        Workers not to be considered.
     now : float
         Time in seconds.
     use_hold : bool
-        Whether this gang owns the current hold and may use its workers.
+        Whether workers are reserved for this gang, so that it may use them.
 
     Returns
     -------
     list of str or None
-        Worker ids with repetition, of length `count`.
+        One worker id per task; an id may occur several times.
     """
     _health.open_probes(cell, now)
-    _holds.expire(cell, now)
-    indexes = (cell.held, cell.open) if use_hold else (cell.open,)
-    rooms: list[_Room] = []
+    _gang_reservation.expire(cell, now)
+    indexes = (
+        (cell.reserved_index, cell.open_index)
+        if use_hold
+        else (cell.open_index,)
+    )
+    candidates: list[_WorkerSlots] = []
     total = 0
     for worker in _fitting(cell, indexes, need, excluded):
         if (
@@ -70,31 +74,31 @@
             and worker.capacity.accelerators
             and not need.accelerators
         ):
-            # The workers without accelerators, which come first, suffice.
+            # Workers without accelerators come first, and they suffice.
             break
-        left = min(
+        free_slots = min(
             count,
-            _scoring.times_of(
+            _scoring.fit_count_of(
                 need,
                 worker.free_cpu,
                 worker.free_memory,
                 worker.free_accelerators,
             ),
         )
-        rooms.append(
-            _Room(
+        candidates.append(
+            _WorkerSlots(
                 worker_id=worker.worker_id,
                 data_centre=worker.data_centre,
                 rack=worker.rack,
-                left=left,
+                free_slots=free_slots,
             )
         )
-        total += left
+        total += free_slots
         if total >= count and not spread:
             break
     if total < count:
         return None
-    return _spread(rooms, count) if spread else _pack(rooms, count)
+    return _spread(candidates, count) if spread else _pack(candidates, count)
 
 
 def plan_gang_reservation(
@@ -106,27 +110,27 @@
     limit_s: float,
     excluded: frozenset[str] | set[str] = frozenset(),
 ) -> _state.GangPlan | None:
-    """Plan when and where a gang fits, by the expected ends of tasks.
+    """Plan when and where a gang will fit, by the expected ends of tasks.
 
-    A task past its expected end is taken to run on beyond the limit, because
-    nothing is known about its end. Few workers are preferred, since a hold
-    keeps other work off them.
+    A task past its expected end is assumed to run beyond the limit, because
+    nothing is known about its end. Plans with few workers are preferred,
+    since a reservation keeps other work off them.
 
     Parameters
     ----------
     cell : Cell
         The cell; it is not changed.
     need : Resources
-        What each task needs.
+        Resources that each task needs.
     count : int
         Number of tasks.
     now : float
         Time in seconds.
     limit_s : float
-        Longest time in seconds until the gang starts; a hold of the plan
-        expires after it.
+        Latest start of the gang, in seconds from now; a reservation by the
+        plan expires at that time.
     excluded : set of str
-        Workers that are left out.
+        Workers not to be considered.
 
     Returns
     -------
@@ -135,40 +139,46 @@
     """
     if _scoring.gang_capacity(cell, need) < count:
         return None
-    # Only workers that have room now, or get some, are looked at.
+    # Only workers that have free capacity, or whose tasks end, are examined.
     free: dict[str, list[int]] = {}
-    fits: dict[str, int] = {}
+    fit_counts: dict[str, int] = {}
     total = 0
-    for worker in _fitting(cell, (cell.held, cell.open), need, excluded):
+    for worker in _fitting(
+        cell, (cell.reserved_index, cell.open_index), need, excluded
+    ):
         amounts = free[worker.worker_id] = _free_amounts(worker)
-        times = min(count, _scoring.times_of(need, *amounts))
-        fits[worker.worker_id] = times
-        total += times
+        fit_count = min(count, _scoring.fit_count_of(need, *amounts))
+        fit_counts[worker.worker_id] = fit_count
+        total += fit_count
     starts_at = now
     if total < count:
-        for ending in _ends(cell, now, now + limit_s):
-            worker_id = ending.worker_id
+        for reservation in _expected_ends(cell, now, now + limit_s):
+            worker_id = reservation.worker_id
             amounts = free.get(worker_id)
             if amounts is None:
                 worker = cell.workers[worker_id]
-                if not _may_plan(worker, need, excluded):
+                if not _is_eligible(worker, need, excluded):
                     continue
                 amounts = free[worker_id] = _free_amounts(worker)
-                fits[worker_id] = 0
-            amounts[0] += ending.need.cpu_millis
-            amounts[1] += ending.need.memory_mb
-            amounts[2] += ending.need.accelerators
-            times = min(count, _scoring.times_of(need, *amounts))
-            total += times - fits[worker_id]
-            fits[worker_id] = times
-            starts_at = ending.expected_end
+                fit_counts[worker_id] = 0
+            amounts[0] += reservation.need.cpu_millis
+            amounts[1] += reservation.need.memory_mb
+            amounts[2] += reservation.need.accelerators
+            fit_count = min(count, _scoring.fit_count_of(need, *amounts))
+            total += fit_count - fit_counts[worker_id]
+            fit_counts[worker_id] = fit_count
+            starts_at = reservation.expected_end
             if total >= count:
                 break
     if total < count:
         return None
     chosen: list[str] = []
-    for worker_id in sorted(fits, key=lambda item: (-fits[item], item)):
-        chosen.extend([worker_id] * min(fits[worker_id], count - len(chosen)))
+    for worker_id in sorted(
+        fit_counts, key=lambda item: (-fit_counts[item], item)
+    ):
+        chosen.extend(
+            [worker_id] * min(fit_counts[worker_id], count - len(chosen))
+        )
         if len(chosen) == count:
             break
     return _state.GangPlan(
@@ -184,7 +194,10 @@
     need: model.Resources,
     excluded: frozenset[str] | set[str],
 ) -> collections.abc.Iterator[_state.Worker]:
-    """Yield workers that take several tasks; a probed one takes just one."""
+    """Yield the workers that fit the need, without ejected ones.
+
+    An ejected worker may run one probe, but not several tasks of a gang.
+    """
     for index in indexes:
         for worker_id in _index.fitting(index, need):
             worker = cell.workers[worker_id]
@@ -192,7 +205,7 @@
                 yield worker
 
 
-def _may_plan(
+def _is_eligible(
     worker: _state.Worker,
     need: model.Resources,
     excluded: frozenset[str] | set[str],
@@ -209,11 +222,11 @@
     return [worker.free_cpu, worker.free_memory, worker.free_accelerators]
 
 
-def _ends(
+def _expected_ends(
     cell: _state.Cell, now: float, until: float
 ) -> collections.abc.Iterator[_state.Reservation]:
-    """Yield the reservations that are expected to end until a time."""
-    for second in sorted(cell.ends):
+    """Yield the reservations expected to end by a given time, in order."""
+    for second in sorted(cell.expected_ends):
         if second + 1 < now:
             continue
         if second > until:
@@ -221,7 +234,7 @@
         for reservation in sorted(
             [
                 item
-                for item in cell.ends[second]
+                for item in cell.expected_ends[second]
                 if now < item.expected_end <= until
             ],
             key=operator.attrgetter("expected_end"),
@@ -229,19 +242,22 @@
             yield reservation
 
 
-def _pack(rooms: list[_Room], count: int) -> list[str]:
+def _pack(candidates: list[_WorkerSlots], count: int) -> list[str]:
     chosen: list[str] = []
-    for room in rooms:
-        chosen.extend([room.worker_id] * min(room.left, count - len(chosen)))
+    for candidate in candidates:
+        chosen.extend(
+            [candidate.worker_id]
+            * min(candidate.free_slots, count - len(chosen))
+        )
     return chosen
 
 
-def _spread(rooms: list[_Room], count: int) -> list[str]:
-    """Place task by task where the gang has fewest tasks so far."""
-    centres: dict[str, dict[str, list[_Room]]] = {}
-    for room in rooms:
-        racks = centres.setdefault(room.data_centre, {})
-        racks.setdefault(room.rack, []).append(room)
+def _spread(candidates: list[_WorkerSlots], count: int) -> list[str]:
+    """Place each task where the gang has the fewest tasks so far."""
+    centres: dict[str, dict[str, list[_WorkerSlots]]] = {}
+    for candidate in candidates:
+        racks = centres.setdefault(candidate.data_centre, {})
+        racks.setdefault(candidate.rack, []).append(candidate)
     in_centre = dict.fromkeys(centres, 0)
     in_rack = {
         (centre, rack): 0 for centre in centres for rack in centres[centre]
@@ -254,14 +270,16 @@
             racks,
             key=lambda item: (in_rack[(centre, item)], item),
         )
-        room = min(racks[rack], key=lambda item: (item.taken, item.worker_id))
-        chosen.append(room.worker_id)
+        candidate = min(
+            racks[rack], key=lambda item: (item.assigned, item.worker_id)
+        )
+        chosen.append(candidate.worker_id)
         in_centre[centre] += 1
         in_rack[(centre, rack)] += 1
-        room.taken += 1
-        room.left -= 1
-        if not room.left:
-            racks[rack].remove(room)
+        candidate.assigned += 1
+        candidate.free_slots -= 1
+        if not candidate.free_slots:
+            racks[rack].remove(candidate)
             if not racks[rack]:
                 del racks[rack]
                 if not racks:
--- a/chestnuttide/placement/_index.py
+++ b/chestnuttide/placement/_index.py
@@ -1,4 +1,4 @@
-"""Keeps the indexes in step with the workers' free amounts, and looks up."""
+"""Index of the workers by free capacity: maintenance and best-fit lookup."""
 
 import bisect
 import collections.abc
@@ -9,7 +9,7 @@
 
 
 def takes_work(worker: _state.Worker) -> bool:
-    """Return whether the worker may be given new work of some size."""
+    """Return whether the worker accepts new work."""
     return (
         worker.state is model.InstanceState.LIVE
         and worker.free_cpu >= 0
@@ -20,36 +20,41 @@
 
 
 def refresh(cell: _state.Cell, worker: _state.Worker) -> None:
-    """Recompute the free amounts of a worker and file it under them.
+    """Recompute the free amounts of a worker and update its index entries.
 
-    Work that cannot be throttled is limited by the exact reservations of all
-    such work, reclaimed or not; memory cannot be throttled, so it is limited
-    by all work that cannot be checkpointed as well.
+    The reservations that cannot be throttled must fit within the capacity
+    together, including those on reclaimed capacity. Memory cannot be
+    throttled, so the memory of all work that cannot be checkpointed must fit
+    as well.
     """
     capacity = worker.capacity
     worker.free_cpu = capacity.cpu_millis - max(
-        worker.firm_cpu, worker.strict_cpu
+        worker.guaranteed_cpu, worker.unthrottleable_cpu
     )
     worker.free_memory = capacity.memory_mb - max(
-        worker.firm_memory, worker.strict_memory, worker.pinned_memory
+        worker.guaranteed_memory,
+        worker.unthrottleable_memory,
+        worker.uncheckpointable_memory,
     )
     worker.free_accelerators = capacity.accelerators - worker.accelerators
-    place = worker.place
+    position = worker.position
     if not takes_work(worker):
-        if place is not None:
-            _withdraw(worker, place)
+        if position is not None:
+            _remove(worker, position)
         return
-    index = cell.held if worker.held else cell.open
-    if place is not None:
+    index = (
+        cell.reserved_index if worker.reserved_for_gang else cell.open_index
+    )
+    if position is not None:
         if (
-            place.index is index
-            and place.capacity is capacity
-            and place.data_centre == worker.data_centre
+            position.index is index
+            and position.capacity is capacity
+            and position.data_centre == worker.data_centre
         ):
-            if _move(worker, place):
+            if _update_in_place(worker, position):
                 return
-        _withdraw(worker, place)
-    _file(worker, index)
+        _remove(worker, position)
+    _insert(worker, index)
 
 
 def best_fit(
@@ -58,10 +63,10 @@
     need: model.Resources,
     excluded: collections.abc.Container[str],
 ) -> str | None:
-    """Return the worker with the least left over, or None if none fits.
+    """Return the worker with the least capacity left over, or None.
 
-    Work without accelerators goes to a worker with accelerators only if no
-    other worker fits, and then to one that has few of them free.
+    Work that needs no accelerators is given a worker with accelerators only
+    if no other worker fits, preferably one with few free accelerators.
     """
     if need.accelerators == 0:
         found = _best_of(index.plain, need=need, excluded=excluded)
@@ -73,7 +78,7 @@
 def fitting(
     index: _state.Index, need: model.Resources
 ) -> collections.abc.Iterator[str]:
-    """Yield the workers that fit the need, in order of preference."""
+    """Yield the workers on which the need fits, in order of preference."""
     if need.accelerators == 0:
         for key in sorted(index.plain):
             yield from _fitting_of(index.plain[key], need)
@@ -82,7 +87,7 @@
 
 
 def shape_key(capacity: model.Resources) -> _state.ShapeKey:
-    """Return the shape of a worker of that capacity."""
+    """Return the shape of a worker with the given capacity."""
     return (
         capacity.accelerators,
         capacity.cpu_millis.bit_length(),
@@ -172,22 +177,27 @@
             yield entry[2]
 
 
-def _move(worker: _state.Worker, place: _state.Place) -> bool:
-    """Refile a worker that keeps its group; returns whether it does."""
-    accelerators = place.accelerators
+def _update_in_place(
+    worker: _state.Worker, position: _state.IndexPosition
+) -> bool:
+    """Update the entries of a worker whose group is unchanged.
+
+    Returns False, without a change, if the worker belongs to another group.
+    """
+    accelerators = position.accelerators
     if worker.free_accelerators != accelerators:
         return False
-    old_cpu = place.cpu_millis
-    old_memory = place.memory_mb
+    old_cpu = position.cpu_millis
+    old_memory = position.memory_mb
     cpu = worker.free_cpu
     memory = worker.free_memory
     if cpu == old_cpu and memory == old_memory:
         return True
     worker_id = worker.worker_id
-    index = place.index
-    accelerated = place.capacity.accelerators > 0
+    index = position.index
+    accelerated = position.capacity.accelerators > 0
     shapes = index.accelerated if accelerated else index.plain
-    group = shapes[place.shape].groups[accelerators]
+    group = shapes[position.shape].groups[accelerators]
     old = (old_cpu, old_memory, worker_id)
     new = (cpu, memory, worker_id)
     _ranking.replace(group.by_cpu, old, new)
@@ -196,22 +206,22 @@
         (old_memory, old_cpu, worker_id),
         (memory, cpu, worker_id),
     )
-    centre = index.centres[place.data_centre]
+    centre = index.centres[position.data_centre]
     centre.free_cpu += cpu - old_cpu
     _ranking.replace(centre.rankings[(accelerated, accelerators)], old, new)
-    place.cpu_millis = cpu
-    place.memory_mb = memory
+    position.cpu_millis = cpu
+    position.memory_mb = memory
     return True
 
 
-def _file(worker: _state.Worker, index: _state.Index) -> None:
+def _insert(worker: _state.Worker, index: _state.Index) -> None:
     capacity = worker.capacity
     key = shape_key(capacity)
     worker_id = worker.worker_id
     cpu = worker.free_cpu
     memory = worker.free_memory
     accelerators = worker.free_accelerators
-    worker.place = _state.Place(
+    worker.position = _state.IndexPosition(
         index=index,
         shape=key,
         data_centre=worker.data_centre,
@@ -236,7 +246,7 @@
     _ranking.insert(group.by_memory, (memory, cpu, worker_id))
     centre = index.centres.get(worker.data_centre)
     if centre is None:
-        centre = index.centres[worker.data_centre] = _state.Centre()
+        centre = index.centres[worker.data_centre] = _state.DataCentreIndex()
     centre.free_cpu += cpu
     ranking = centre.rankings.get((accelerated, accelerators))
     if ranking is None:
@@ -245,15 +255,15 @@
     _ranking.insert(ranking, (cpu, memory, worker_id))
 
 
-def _withdraw(worker: _state.Worker, place: _state.Place) -> None:
-    index = place.index
+def _remove(worker: _state.Worker, position: _state.IndexPosition) -> None:
+    index = position.index
     worker_id = worker.worker_id
-    cpu = place.cpu_millis
-    memory = place.memory_mb
-    accelerators = place.accelerators
-    accelerated = place.capacity.accelerators > 0
+    cpu = position.cpu_millis
+    memory = position.memory_mb
+    accelerators = position.accelerators
+    accelerated = position.capacity.accelerators > 0
     shapes = index.accelerated if accelerated else index.plain
-    shape = shapes[place.shape]
+    shape = shapes[position.shape]
     group = shape.groups[accelerators]
     _ranking.remove(group.by_cpu, (cpu, memory, worker_id))
     _ranking.remove(group.by_memory, (memory, cpu, worker_id))
@@ -261,16 +271,16 @@
         del shape.groups[accelerators]
         shape.order.remove(accelerators)
     shape.members -= 1
-    shape.cpu_millis -= place.capacity.cpu_millis
-    shape.memory_mb -= place.capacity.memory_mb
+    shape.cpu_millis -= position.capacity.cpu_millis
+    shape.memory_mb -= position.capacity.memory_mb
     if not shape.members:
-        del shapes[place.shape]
-    centre = index.centres[place.data_centre]
+        del shapes[position.shape]
+    centre = index.centres[position.data_centre]
     centre.free_cpu -= cpu
     ranking = centre.rankings[(accelerated, accelerators)]
     _ranking.remove(ranking, (cpu, memory, worker_id))
     if not ranking.blocks:
         del centre.rankings[(accelerated, accelerators)]
         if not centre.rankings:
-            del index.centres[place.data_centre]
-    worker.place = None
+            del index.centres[position.data_centre]
+    worker.position = None
--- a/chestnuttide/placement/_preemption.py
+++ b/chestnuttide/placement/_preemption.py
@@ -1,4 +1,4 @@
-"""Choice of attempts to evict for more important work."""
+"""Choice of the attempts to evict for work of a higher priority."""
 
 import collections.abc
 
@@ -6,13 +6,13 @@
 from chestnuttide.placement import _ranking
 from chestnuttide.placement import _state
 
-# Workers that are compared in detail per priority. Comparing all of them
-# takes tens of milliseconds at 2,500 workers.
-CANDIDATES = 12
+# Number of workers whose victims are compared per priority. Comparing all
+# workers takes tens of milliseconds at 2,500 workers.
+CANDIDATE_WORKERS = 12
 
-# Workers that are examined in detail per priority, including those on which
+# Number of workers that are examined per priority, including those on which
 # protected attempts leave too little to evict.
-EXAMINED = 48
+EXAMINED_WORKERS = 48
 
 _Rank = tuple[int, int, int, int, float]
 
@@ -30,53 +30,56 @@
 
     The list is empty if the need fits on the worker without evictions.
 
-    The least important attempts come first, then the fewest, then those that
-    are checkpointed, then those that started last and so lose least work.
-    Workers are searched by ascending priority of what they have to evict, and
-    the search ends after `CANDIDATES` workers of one priority that would do.
+    Victims of the lowest priority are preferred, then the fewest, then those
+    that are checkpointed, then those that are not urgent, then those that
+    started last and so lose the least work. Workers are searched by ascending
+    priority of the work to evict, and the search ends after
+    `CANDIDATE_WORKERS` suitable workers of one priority.
 
     Parameters
     ----------
     cell : Cell
         The cell; it is not changed.
     need : Resources
-        What the more important task needs.
+        Resources that the task of higher priority needs.
     priority : int
-        Its priority; only attempts of lower priority are evicted.
+        Priority of that task; only attempts of a lower one are evicted.
     now : float
         Time in seconds.
     excluded : set of str
-        Workers that are left out.
+        Workers not to be considered.
     protected : container of Attempt
-        Attempts that are not evicted, for example to keep the minimum number
-        of a service's replicas up.
+        Attempts that must not be evicted, for example to keep the minimum
+        number of replicas of a service running.
     """
     levels = sorted(level for level in cell.preemptible if level < priority)
     if not levels:
         return None
-    suited: dict[int, list[_state.Worker]] = {level: [] for level in levels}
-    for worker_id in _yielding(cell, need):
+    eligible: dict[int, list[_state.Worker]] = {level: [] for level in levels}
+    for worker_id in _eviction_candidates(cell, need):
         worker = cell.workers[worker_id]
-        if worker.held or worker.ejected or worker_id in excluded:
+        if worker.reserved_for_gang or worker.ejected or worker_id in excluded:
             continue
-        level = _level_of(worker, levels, need)
+        level = _eviction_level(worker, levels, need)
         if level is None:
             continue
-        suited[level].append(worker)
-        if len(suited[levels[0]]) == EXAMINED:
+        eligible[level].append(worker)
+        if len(eligible[levels[0]]) == EXAMINED_WORKERS:
             break
     for level in levels:
-        best = _best_on(suited[level][:EXAMINED], need, level, now, protected)
+        best = _best_victims(
+            eligible[level][:EXAMINED_WORKERS], need, level, now, protected
+        )
         if best is not None:
             return best
     return None
 
 
 def refresh(cell: _state.Cell, worker: _state.Worker) -> None:
-    """File a worker under what it has free once it evicts all it may.
+    """Rank a worker by its free capacity once all preemptible work is evicted.
 
-    The amounts are upper bounds: evicting lent work may free less than its
-    reservation.
+    The amounts are upper bounds: evicting work on reclaimed capacity may free
+    less than its reservation.
     """
     entry: _ranking.Entry | None = None
     if worker.evictable and worker.state is model.InstanceState.LIVE:
@@ -87,36 +90,40 @@
             memory += evictable.memory_mb
         entry = (cpu, memory, worker.worker_id)
     accelerated = worker.capacity.accelerators > 0
-    if entry == worker.yield_entry and accelerated is worker.yield_accelerated:
+    if (
+        entry == worker.eviction_entry
+        and accelerated is worker.eviction_accelerated
+    ):
         return
-    if worker.yield_entry is not None:
+    if worker.eviction_entry is not None:
         _ranking.remove(
-            cell.yielding[worker.yield_accelerated], worker.yield_entry
+            cell.eviction_rankings[worker.eviction_accelerated],
+            worker.eviction_entry,
         )
     if entry is not None:
-        _ranking.insert(cell.yielding[accelerated], entry)
-    worker.yield_entry = entry
-    worker.yield_accelerated = accelerated
+        _ranking.insert(cell.eviction_rankings[accelerated], entry)
+    worker.eviction_entry = entry
+    worker.eviction_accelerated = accelerated
 
 
-def _yielding(
+def _eviction_candidates(
     cell: _state.Cell, need: model.Resources
 ) -> collections.abc.Iterator[str]:
-    """Yield the workers whose evictions may make enough room."""
+    """Yield the workers on which evictions may free enough capacity."""
     for accelerated in (False, True):
         if accelerated or not need.accelerators:
             for entry in _ranking.ascending(
-                cell.yielding[accelerated],
+                cell.eviction_rankings[accelerated],
                 primary=need.cpu_millis,
                 secondary=need.memory_mb,
             ):
                 yield entry[2]
 
 
-def _level_of(
+def _eviction_level(
     worker: _state.Worker, levels: list[int], need: model.Resources
 ) -> int | None:
-    """Return the priority up to which evictions may make enough room."""
+    """Return the priority up to which attempts must be evicted, or None."""
     cpu = worker.free_cpu - need.cpu_millis
     memory = worker.free_memory - need.memory_mb
     accelerators = worker.free_accelerators - need.accelerators
@@ -131,14 +138,14 @@
     return None
 
 
-def _best_on(
+def _best_victims(
     workers: list[_state.Worker],
     need: model.Resources,
     level: int,
     now: float,
     protected: collections.abc.Container[model.Attempt],
 ) -> tuple[str, list[model.Attempt]] | None:
-    """Return the best victims of one priority on the first few workers."""
+    """Return the best victims of one priority, by the first workers only."""
     best: tuple[_Rank, str, list[model.Attempt]] | None = None
     candidates = 0
     for worker in workers:
@@ -149,7 +156,7 @@
         if best is None or (found[0], worker_id) < best[:2]:
             best = (found[0], worker_id, found[1])
         candidates += 1
-        if candidates == CANDIDATES:
+        if candidates == CANDIDATE_WORKERS:
             break
     return None if best is None else (best[1], best[2])
 
@@ -161,7 +168,7 @@
     now: float,
     protected: collections.abc.Container[model.Attempt],
 ) -> tuple[_Rank, list[model.Attempt]] | None:
-    """Return the victims on one worker and their rank; least is best."""
+    """Return the victims on one worker and their rank; the lowest is best."""
     candidates = [
         reservation
         for reservation in worker.reservations.values()
@@ -169,12 +176,12 @@
         and reservation.priority <= level
         and reservation.attempt not in protected
     ]
-    candidates.sort(key=_loss)
-    # One greedy pass takes the least important attempts, the other the
-    # largest ones; the better result is kept.
+    candidates.sort(key=_by_importance)
+    # One greedy pass selects the attempts of lowest priority first, the other
+    # the largest first; the better result is returned.
     best: tuple[_Rank, list[model.Attempt]] | None = None
-    for order in (candidates, sorted(candidates, key=_largest)):
-        chosen = _take(worker, need, order)
+    for order in (candidates, sorted(candidates, key=_by_size)):
+        chosen = _select_victims(worker, need, order)
         if chosen is None:
             return None
         rank = (
@@ -189,7 +196,7 @@
     return best
 
 
-def _loss(
+def _by_importance(
     reservation: _state.Reservation,
 ) -> tuple[int, bool, bool, float, str, int]:
     return (
@@ -202,42 +209,46 @@
     )
 
 
-def _largest(reservation: _state.Reservation) -> tuple[int, int, int]:
+def _by_size(reservation: _state.Reservation) -> tuple[int, int, int]:
     need = reservation.need
     return (-need.accelerators, -need.cpu_millis, -need.memory_mb)
 
 
-def _fits_after(
+def _fits_after_eviction(
     worker: _state.Worker, need: model.Resources, sums: list[int]
 ) -> bool:
     """Return whether a need fits once the summed amounts are evicted.
 
-    The sums are those of `_count`.
+    The sums are those of `_add_to_sums`.
     """
     capacity = worker.capacity
     return (
         worker.accelerators - sums[5] + need.accelerators
         <= capacity.accelerators
-        and max(worker.firm_cpu - sums[0], worker.strict_cpu - sums[1])
+        and max(
+            worker.guaranteed_cpu - sums[0],
+            worker.unthrottleable_cpu - sums[1],
+        )
         + need.cpu_millis
         <= capacity.cpu_millis
         and max(
-            worker.firm_memory - sums[2],
-            worker.strict_memory - sums[3],
-            worker.pinned_memory - sums[4],
+            worker.guaranteed_memory - sums[2],
+            worker.unthrottleable_memory - sums[3],
+            worker.uncheckpointable_memory - sums[4],
         )
         + need.memory_mb
         <= capacity.memory_mb
     )
 
 
-def _count(
+def _add_to_sums(
     sums: list[int], reservation: _state.Reservation, sign: int
 ) -> None:
-    """Add or take a reservation to or from the sums that include it.
+    """Add a reservation to the sums that include it, or subtract it.
 
-    The sums are firm and strict processors, firm, strict and pinned memory,
-    and accelerators; see `Worker`.
+    The sums are, in order: guaranteed and unthrottleable processors;
+    guaranteed, unthrottleable and uncheckpointable memory; accelerators. See
+    `Worker`.
     """
     need = reservation.need
     cpu = sign * need.cpu_millis
@@ -253,26 +264,26 @@
     sums[5] += sign * need.accelerators
 
 
-def _take(
+def _select_victims(
     worker: _state.Worker,
     need: model.Resources,
     order: list[_state.Reservation],
 ) -> list[_state.Reservation] | None:
-    """Take attempts in order until the need fits, then drop spare ones."""
+    """Select attempts in order until the need fits; drop unneeded ones."""
     sums = [0, 0, 0, 0, 0, 0]
     chosen: list[_state.Reservation] = []
     for reservation in order:
-        if _fits_after(worker, need, sums):
+        if _fits_after_eviction(worker, need, sums):
             break
         chosen.append(reservation)
-        _count(sums, reservation, 1)
-    if not _fits_after(worker, need, sums):
+        _add_to_sums(sums, reservation, 1)
+    if not _fits_after_eviction(worker, need, sums):
         return None
-    # The last one taken made the need fit, so it is never spare.
-    kept = chosen[-1:]
+    # The attempt selected last made the need fit, so it is always needed.
+    needed = chosen[-1:]
     for reservation in reversed(chosen[:-1]):
-        _count(sums, reservation, -1)
-        if not _fits_after(worker, need, sums):
-            _count(sums, reservation, 1)
-            kept.append(reservation)
-    return kept
+        _add_to_sums(sums, reservation, -1)
+        if not _fits_after_eviction(worker, need, sums):
+            _add_to_sums(sums, reservation, 1)
+            needed.append(reservation)
+    return needed
--- a/chestnuttide/placement/_ranking.py
+++ b/chestnuttide/placement/_ranking.py
@@ -1,9 +1,9 @@
-"""Sorted lists in blocks that know the largest secondary value per block.
+"""Sorted lists split into blocks that store their largest secondary value.
 
-A `Ranking` answers "the smallest primary value of at least x whose secondary
-value is at least y" exactly in O(sqrt n). A plain sorted list has to walk
-past every entry that has enough of the primary dimension and too little of
-the secondary one, which is the whole list in a full cell.
+A `Ranking` finds the entry with the smallest primary value of at least x
+whose secondary value is at least y in O(sqrt n). A plain sorted list would be
+scanned past every entry that has enough of the primary dimension but too
+little of the secondary one, which is the whole list in a full cell.
 """
 
 import bisect
@@ -11,8 +11,9 @@
 
 import attrs
 
-# A block is split at twice this length. Lookups walk one block and the list
-# of blocks, so the best length is near the square root of the worker count.
+# Number of entries; a block is split at twice this length. Lookups scan one
+# block and the list of blocks, so the optimum is near the square root of the
+# number of workers.
 BLOCK_LENGTH = 32
 
 Entry = tuple[int, int, str]
@@ -33,8 +34,8 @@
     """
 
     blocks: list[list[Entry]] = attrs.field(factory=list)
-    lasts: list[Entry] = attrs.field(factory=list)
-    tops: list[int] = attrs.field(factory=list)
+    last_entries: list[Entry] = attrs.field(factory=list)
+    max_secondaries: list[int] = attrs.field(factory=list)
 
 
 def insert(ranking: Ranking, entry: Entry) -> None:
@@ -42,52 +43,52 @@
     blocks = ranking.blocks
     if not blocks:
         blocks.append([entry])
-        ranking.lasts.append(entry)
-        ranking.tops.append(entry[1])
+        ranking.last_entries.append(entry)
+        ranking.max_secondaries.append(entry[1])
         return
-    at = bisect.bisect_left(ranking.lasts, entry)
-    if at == len(blocks):
-        at -= 1
-        blocks[at].append(entry)
-        ranking.lasts[at] = entry
+    block_index = bisect.bisect_left(ranking.last_entries, entry)
+    if block_index == len(blocks):
+        block_index -= 1
+        blocks[block_index].append(entry)
+        ranking.last_entries[block_index] = entry
     else:
-        bisect.insort(blocks[at], entry)
-    if entry[1] > ranking.tops[at]:
-        ranking.tops[at] = entry[1]
-    if len(blocks[at]) >= 2 * BLOCK_LENGTH:
-        _split(ranking, at)
+        bisect.insort(blocks[block_index], entry)
+    if entry[1] > ranking.max_secondaries[block_index]:
+        ranking.max_secondaries[block_index] = entry[1]
+    if len(blocks[block_index]) >= 2 * BLOCK_LENGTH:
+        _split(ranking, block_index)
 
 
 def remove(ranking: Ranking, entry: Entry) -> None:
-    """Remove an entry that the ranking holds."""
-    at = bisect.bisect_left(ranking.lasts, entry)
-    block = ranking.blocks[at]
+    """Remove an entry, which must be in the ranking."""
+    block_index = bisect.bisect_left(ranking.last_entries, entry)
+    block = ranking.blocks[block_index]
     position = bisect.bisect_left(block, entry)
     if block[position] != entry:
         raise KeyError(entry)
     del block[position]
     if not block:
-        del ranking.blocks[at]
-        del ranking.lasts[at]
-        del ranking.tops[at]
+        del ranking.blocks[block_index]
+        del ranking.last_entries[block_index]
+        del ranking.max_secondaries[block_index]
         return
-    ranking.lasts[at] = block[-1]
-    if entry[1] == ranking.tops[at]:
-        ranking.tops[at] = max([item[1] for item in block])
+    ranking.last_entries[block_index] = block[-1]
+    if entry[1] == ranking.max_secondaries[block_index]:
+        ranking.max_secondaries[block_index] = max([item[1] for item in block])
 
 
 def replace(ranking: Ranking, old: Entry, new: Entry) -> None:
-    """Replace an entry that the ranking holds by another."""
-    lasts = ranking.lasts
-    tops = ranking.tops
+    """Replace an entry, which must be in the ranking, by another."""
+    last_entries = ranking.last_entries
+    max_secondaries = ranking.max_secondaries
     blocks = ranking.blocks
-    at = bisect.bisect_left(lasts, old)
-    to = bisect.bisect_left(lasts, new)
-    block = blocks[at]
+    block_index = bisect.bisect_left(last_entries, old)
+    new_block_index = bisect.bisect_left(last_entries, new)
+    block = blocks[block_index]
     if (
         len(block) < 2
-        or to == len(blocks)
-        or len(blocks[to]) >= 2 * BLOCK_LENGTH - 1
+        or new_block_index == len(blocks)
+        or len(blocks[new_block_index]) >= 2 * BLOCK_LENGTH - 1
     ):
         remove(ranking, old)
         insert(ranking, new)
@@ -96,13 +97,13 @@
     if block[position] != old:
         raise KeyError(old)
     del block[position]
-    target = blocks[to]
-    bisect.insort(target, new)
-    lasts[at] = block[-1]
-    if old[1] == tops[at]:
-        tops[at] = max([item[1] for item in block])
-    if new[1] > tops[to]:
-        tops[to] = new[1]
+    new_block = blocks[new_block_index]
+    bisect.insort(new_block, new)
+    last_entries[block_index] = block[-1]
+    if old[1] == max_secondaries[block_index]:
+        max_secondaries[block_index] = max([item[1] for item in block])
+    if new[1] > max_secondaries[new_block_index]:
+        max_secondaries[new_block_index] = new[1]
 
 
 def first_fit(
@@ -112,23 +113,23 @@
     secondary: int,
     excluded: collections.abc.Container[str],
 ) -> Entry | None:
-    """Return the least entry with at least both values, or None."""
+    """Return the smallest entry with at least both values, or None."""
     start = (primary, secondary)
     blocks = ranking.blocks
-    tops = ranking.tops
-    at = bisect.bisect_left(ranking.lasts, start)
+    max_secondaries = ranking.max_secondaries
+    block_index = bisect.bisect_left(ranking.last_entries, start)
     count = len(blocks)
-    if at == count:
+    if block_index == count:
         return None
-    if tops[at] >= secondary:
-        block = blocks[at]
+    if max_secondaries[block_index] >= secondary:
+        block = blocks[block_index]
         for position in range(bisect.bisect_left(block, start), len(block)):
             entry = block[position]
             if entry[1] >= secondary and entry[2] not in excluded:
                 return entry
-    for later in range(at + 1, count):
-        if tops[later] >= secondary:
-            for entry in blocks[later]:
+    for later_index in range(block_index + 1, count):
+        if max_secondaries[later_index] >= secondary:
+            for entry in blocks[later_index]:
                 if entry[1] >= secondary and entry[2] not in excluded:
                     return entry
     return None
@@ -137,12 +138,12 @@
 def ascending(
     ranking: Ranking, *, primary: int, secondary: int
 ) -> collections.abc.Iterator[Entry]:
-    """Yield the entries with at least both values, least first."""
+    """Yield the entries with at least both values, smallest first."""
     start = (primary, secondary)
-    at = bisect.bisect_left(ranking.lasts, start)
-    for later in range(at, len(ranking.blocks)):
-        if ranking.tops[later] >= secondary:
-            for entry in ranking.blocks[later]:
+    block_index = bisect.bisect_left(ranking.last_entries, start)
+    for later_index in range(block_index, len(ranking.blocks)):
+        if ranking.max_secondaries[later_index] >= secondary:
+            for entry in ranking.blocks[later_index]:
                 if entry[0] >= primary and entry[1] >= secondary:
                     yield entry
 
@@ -150,23 +151,25 @@
 def descending(
     ranking: Ranking, *, primary: int, secondary: int
 ) -> collections.abc.Iterator[Entry]:
-    """Yield the entries with at least both values, greatest first."""
-    for at in range(len(ranking.blocks) - 1, -1, -1):
-        if ranking.lasts[at][0] < primary:
+    """Yield the entries with at least both values, largest first."""
+    for block_index in range(len(ranking.blocks) - 1, -1, -1):
+        if ranking.last_entries[block_index][0] < primary:
             return
-        if ranking.tops[at] >= secondary:
-            for entry in reversed(ranking.blocks[at]):
+        if ranking.max_secondaries[block_index] >= secondary:
+            for entry in reversed(ranking.blocks[block_index]):
                 if entry[0] < primary:
                     return
                 if entry[1] >= secondary:
                     yield entry
 
 
-def _split(ranking: Ranking, at: int) -> None:
-    block = ranking.blocks[at]
+def _split(ranking: Ranking, block_index: int) -> None:
+    block = ranking.blocks[block_index]
     upper = block[BLOCK_LENGTH:]
     del block[BLOCK_LENGTH:]
-    ranking.blocks.insert(at + 1, upper)
-    ranking.lasts.insert(at, block[-1])
-    ranking.tops[at] = max([entry[1] for entry in block])
-    ranking.tops.insert(at + 1, max([entry[1] for entry in upper]))
+    ranking.blocks.insert(block_index + 1, upper)
+    ranking.last_entries.insert(block_index, block[-1])
+    ranking.max_secondaries[block_index] = max([entry[1] for entry in block])
+    ranking.max_secondaries.insert(
+        block_index + 1, max([entry[1] for entry in upper])
+    )
--- a/chestnuttide/placement/_reclaim.py
+++ b/chestnuttide/placement/_reclaim.py
@@ -1,7 +1,9 @@
-"""Capacity that is reserved and not used, lent to work that can yield it.
+"""Reclaimed capacity: unused reservations, offered to interruptible work.
 
-Reported usage lags, so each attempt is charged the decaying peak of its usage
-with a margin, and its whole reservation until enough samples are in.
+Interruptible work can be throttled or checkpointed when the owner needs its
+reservation. Reported usage lags, so the usage of an attempt is estimated by a
+decaying peak with a margin, and by its whole reservation until enough samples
+were received.
 """
 
 import enum
@@ -13,33 +15,33 @@
 from chestnuttide.placement import _ranking
 from chestnuttide.placement import _state
 
-# Samples before an attempt's usage counts for less than its reservation. A
-# task that has just started has not reached its usual usage yet.
+# Number of samples before the usage estimate of an attempt may drop below its
+# reservation. A task that has just started has not reached its usual usage.
 MIN_SAMPLES = 5
 
-# Share of the peak that is kept from one sample to the next.
+# Factor by which the peak usage decays from one sample to the next.
 PEAK_DECAY = 0.9
 
-# Usage is charged with this factor, because it lags behind the truth.
+# Factor between peak usage and estimate, because reported usage lags.
 USAGE_MARGIN = 1.25
 
-# Share of a worker's capacity that is never lent.
+# Share of the capacity of a worker that is never reclaimed.
 HEADROOM_SHARE = 0.1
 
-# Lent amounts are filed in steps of this share of the capacity, so that most
-# usage samples do not move the worker in the ranking.
-FILED_STEPS = 32
+# Number of steps of the capacity to which reclaimable amounts are rounded, so
+# that most usage samples do not move the worker in the ranking.
+RANKING_STEPS = 32
 
-# Workers that are tried for one piece of reclaimed work. Lending is optional,
-# so a bounded search is preferred to a complete one.
-CANDIDATES = 32
+# Number of workers that are tried per placement on reclaimed capacity. Such
+# placements are optional, so a bounded search is preferred to a complete one.
+CANDIDATE_WORKERS = 32
 
-# Samples after which a throttled attempt's usage is trusted again.
+# Number of samples after which the usage of a throttled attempt counts again.
 THROTTLE_SAMPLES = 2
 
 
 class ReliefAction(enum.StrEnum):
-    """What brings the usage of a worker down."""
+    """Action that reduces the usage of a worker."""
 
     THROTTLE = "throttle"
     EVICT = "evict"
@@ -54,11 +56,11 @@
     worker_id : str
         The overcommitted worker.
     attempt : Attempt
-        The attempt that yields.
+        The attempt to act on.
     action : ReliefAction
-        Whether it is throttled or evicted.
+        Whether to throttle or evict it.
     checkpoint : bool
-        Whether an evicted attempt is checkpointed first.
+        Whether to checkpoint the attempt before an eviction.
     """
 
     worker_id: str
@@ -92,44 +94,44 @@
     worker.used_memory += usage.memory_mb - reservation.used_memory
     reservation.used_cpu = usage.cpu_millis
     reservation.used_memory = usage.memory_mb
-    cpu = _charge(
+    cpu = _estimate_usage(
         reservation.need.cpu_millis, reservation.peak_cpu, reservation.samples
     )
-    memory = _charge(
+    memory = _estimate_usage(
         reservation.need.memory_mb,
         reservation.peak_memory,
         reservation.samples,
     )
-    worker.charged_cpu += cpu - reservation.charged_cpu
-    worker.charged_memory += memory - reservation.charged_memory
-    reservation.charged_cpu = cpu
-    reservation.charged_memory = memory
+    worker.estimated_cpu += cpu - reservation.estimated_cpu
+    worker.estimated_memory += memory - reservation.estimated_memory
+    reservation.estimated_cpu = cpu
+    reservation.estimated_memory = memory
     refresh(cell, worker)
 
 
-def add_charge(worker: _state.Worker, reservation: _state.Reservation) -> None:
-    """Charge a new reservation with its whole amount."""
+def add_usage(worker: _state.Worker, reservation: _state.Reservation) -> None:
+    """Count a new reservation in full as usage of its worker."""
     need = reservation.need
-    reservation.used_cpu = reservation.charged_cpu = need.cpu_millis
-    reservation.used_memory = reservation.charged_memory = need.memory_mb
-    worker.charged_cpu += need.cpu_millis
-    worker.charged_memory += need.memory_mb
+    reservation.used_cpu = reservation.estimated_cpu = need.cpu_millis
+    reservation.used_memory = reservation.estimated_memory = need.memory_mb
+    worker.estimated_cpu += need.cpu_millis
+    worker.estimated_memory += need.memory_mb
     worker.used_cpu += need.cpu_millis
     worker.used_memory += need.memory_mb
 
 
-def drop_charge(
+def remove_usage(
     worker: _state.Worker, reservation: _state.Reservation
 ) -> None:
-    """Take back what a reservation was charged."""
-    worker.charged_cpu -= reservation.charged_cpu
-    worker.charged_memory -= reservation.charged_memory
+    """Subtract a reservation from the usage of its worker."""
+    worker.estimated_cpu -= reservation.estimated_cpu
+    worker.estimated_memory -= reservation.estimated_memory
     worker.used_cpu -= reservation.used_cpu
     worker.used_memory -= reservation.used_memory
 
 
 def refresh(cell: _state.Cell, worker: _state.Worker) -> None:
-    """File a worker under what it can lend, and note whether it is over."""
+    """Update the ranking by reclaimable capacity and the overcommitted set."""
     capacity = worker.capacity
     worker_id = worker.worker_id
     if (
@@ -141,20 +143,20 @@
         cell.overcommitted.pop(worker_id, None)
     if (
         worker.reclaim_entry is None
-        and worker.charged_cpu >= capacity.cpu_millis
+        and worker.estimated_cpu >= capacity.cpu_millis
     ):
-        # The usual case: reserved in full, and usage not known yet.
+        # Common case: fully reserved, and usage is not known yet.
         return
     entry: _ranking.Entry | None = None
     if (
-        worker.charged_cpu < capacity.cpu_millis
-        and worker.place is not None
-        and not worker.held
+        worker.estimated_cpu < capacity.cpu_millis
+        and worker.position is not None
+        and not worker.reserved_for_gang
         and worker.reservations
     ):
-        cpu, memory = _lendable(worker)
-        cpu_step = capacity.cpu_millis // FILED_STEPS or 1
-        memory_step = capacity.memory_mb // FILED_STEPS or 1
+        cpu, memory = _reclaimable_amounts(worker)
+        cpu_step = capacity.cpu_millis // RANKING_STEPS or 1
+        memory_step = capacity.memory_mb // RANKING_STEPS or 1
         cpu -= cpu % cpu_step
         memory -= memory % memory_step
         if cpu > 0:
@@ -169,15 +171,15 @@
 
 
 def reclaimable(cell: _state.Cell, worker_id: str) -> model.Resources:
-    """Return what a worker can lend beyond its exact reservations.
+    """Return the capacity that can be reclaimed on a worker.
 
-    Accelerators are whole devices and are never lent; their number is that of
-    the free ones.
+    Accelerators are never reclaimed, since they are whole devices; the
+    returned number is that of the free ones.
     """
     worker = cell.workers.get(worker_id)
-    if worker is None or worker.place is None or worker.held:
+    if worker is None or worker.position is None or worker.reserved_for_gang:
         return model.ZERO
-    cpu, memory = _lendable(worker)
+    cpu, memory = _reclaimable_amounts(worker)
     return model.Resources(
         cpu_millis=cpu,
         memory_mb=memory,
@@ -185,29 +187,32 @@
     )
 
 
-def check_reclaimed(
+def reclaim_obstacle(
     worker: _state.Worker,
     *,
     need: model.Resources,
     checkpoint: bool,
     throttle: bool,
 ) -> str:
-    """Return why the worker cannot lend the need; empty if it can."""
+    """Return why a need cannot use reclaimed capacity; empty if it can."""
     if not (checkpoint or throttle):
         return "the work can be neither throttled nor checkpointed"
-    cpu, memory = _lendable(worker)
+    cpu, memory = _reclaimable_amounts(worker)
     if need.cpu_millis > cpu or need.memory_mb > memory:
-        return "it exceeds what the worker can lend"
+        return "it exceeds the reclaimable capacity"
     if need.accelerators > worker.free_accelerators:
-        return "accelerators are not lent"
+        return "accelerators are not reclaimed"
     if not throttle and (
-        worker.strict_cpu + need.cpu_millis > worker.capacity.cpu_millis
-        or worker.strict_memory + need.memory_mb > worker.capacity.memory_mb
+        worker.unthrottleable_cpu + need.cpu_millis
+        > worker.capacity.cpu_millis
+        or worker.unthrottleable_memory + need.memory_mb
+        > worker.capacity.memory_mb
     ):
         return "work that cannot be throttled would exceed the capacity"
     if (
         not checkpoint
-        and worker.pinned_memory + need.memory_mb > worker.capacity.memory_mb
+        and worker.uncheckpointable_memory + need.memory_mb
+        > worker.capacity.memory_mb
     ):
         return "memory that cannot be checkpointed would exceed the capacity"
     return ""
@@ -222,21 +227,21 @@
     excluded: frozenset[str] | set[str],
     now: float,
 ) -> str | None:
-    """Return a worker that can lend the need, or None.
+    """Return a worker with enough reclaimable capacity, or None.
 
-    The worker with most to lend comes first, which spreads the risk of a rise
-    in usage. At most `CANDIDATES` workers are tried.
+    Workers with the most reclaimable processors are tried first, which spreads
+    the risk of a rise in usage, and at most `CANDIDATE_WORKERS` of them.
 
     Parameters
     ----------
     cell : Cell
         The cell; it is not changed.
     need : Resources
-        What the work needs.
+        Resources that the work needs.
     checkpoint, throttle : bool
         Whether it can be checkpointed or throttled; at least one is required.
     excluded : set of str
-        Workers that are left out.
+        Workers not to be considered.
     now : float
         Time in seconds.
     """
@@ -251,12 +256,12 @@
         if worker_id in excluded:
             continue
         worker = cell.workers[worker_id]
-        if not check_reclaimed(
+        if not reclaim_obstacle(
             worker, need=need, checkpoint=checkpoint, throttle=throttle
         ):
             return worker_id
         tried += 1
-        if tried == CANDIDATES:
+        if tried == CANDIDATE_WORKERS:
             return None
     return None
 
@@ -264,23 +269,24 @@
 def mark_throttled(
     cell: _state.Cell, attempt: model.Attempt, *, throttled: bool
 ) -> None:
-    """Note that an attempt was throttled, or is no longer."""
+    """Record that an attempt was throttled, or no longer is."""
     reservation = cell.reservations.get(attempt)
     if reservation is not None:
         reservation.throttle_samples = 0 if throttled else -1
 
 
 def overcommitted(cell: _state.Cell) -> list[Relief]:
-    """Return the attempts to throttle or evict, the first to act on first.
+    """Return the attempts to throttle or evict, in the order to act on them.
 
-    Only workers whose reported usage exceeds their capacity are named. Work on
-    reclaimed capacity yields first, then work that uses more than it reserved.
-    Processors are relieved by throttling; memory only by eviction. An attempt
-    that was throttled and whose worker is still over capacity is evicted.
+    They run on workers whose reported usage exceeds the capacity. Work on
+    reclaimed capacity comes first, then work that uses more than it reserved.
+    Processor usage is reduced by throttling, memory usage only by eviction. An
+    attempt is evicted if it was throttled and its worker is still over
+    capacity.
     """
     reliefs: list[Relief] = []
     for worker_id in cell.overcommitted:
-        _relieve(cell.workers[worker_id], reliefs)
+        _append_reliefs(cell.workers[worker_id], reliefs)
     return reliefs
 
 
@@ -291,18 +297,21 @@
     checkpoint: bool,
     throttle: bool,
 ) -> None:
-    """Raise `CapacityError` if the worker cannot lend the need."""
-    fault = check_reclaimed(
+    """Raise `CapacityError` if a need cannot use reclaimed capacity."""
+    obstacle = reclaim_obstacle(
         worker, need=need, checkpoint=checkpoint, throttle=throttle
     )
-    if fault:
+    if obstacle:
         raise _errors.CapacityError(
-            message=f"Worker {worker.worker_id} cannot lend {need}: {fault}.",
+            message=(
+                f"Worker {worker.worker_id} cannot reclaim capacity for"
+                f" {need}: {obstacle}."
+            ),
             remedy="Choose another worker.",
         )
 
 
-def _charge(need: int, peak: float, samples: int) -> int:
+def _estimate_usage(need: int, peak: float, samples: int) -> int:
     if samples < MIN_SAMPLES:
         return max(need, int(peak))
     if peak > need:
@@ -310,21 +319,21 @@
     return min(need, int(peak * USAGE_MARGIN) + 1)
 
 
-def _lendable(worker: _state.Worker) -> tuple[int, int]:
-    """Return processors and memory that the worker can lend."""
+def _reclaimable_amounts(worker: _state.Worker) -> tuple[int, int]:
+    """Return the processors and memory that can be reclaimed on a worker."""
     capacity = worker.capacity
     cpu = int(capacity.cpu_millis * (1 - HEADROOM_SHARE))
     memory = int(capacity.memory_mb * (1 - HEADROOM_SHARE))
     return (
-        max(0, cpu - worker.charged_cpu),
-        max(0, memory - worker.charged_memory),
+        max(0, cpu - worker.estimated_cpu),
+        max(0, memory - worker.estimated_memory),
     )
 
 
-def _relieve(worker: _state.Worker, reliefs: list[Relief]) -> None:
+def _append_reliefs(worker: _state.Worker, reliefs: list[Relief]) -> None:
     over_cpu = worker.used_cpu - worker.capacity.cpu_millis
     over_memory = worker.used_memory - worker.capacity.memory_mb
-    # The use of a throttled attempt does not count until new samples are in.
+    # The usage of a throttled attempt is ignored until it is reported anew.
     for reservation in worker.reservations.values():
         if 0 <= reservation.throttle_samples < THROTTLE_SAMPLES:
             over_cpu -= reservation.used_cpu
@@ -348,7 +357,7 @@
     for reservation in candidates:
         if over_cpu <= 0 and over_memory <= 0:
             return
-        action = _relief_of(reservation, over_cpu, over_memory)
+        action = _relief_action(reservation, over_cpu, over_memory)
         if action is None:
             continue
         if action is ReliefAction.EVICT:
@@ -365,7 +374,7 @@
         )
 
 
-def _relief_of(
+def _relief_action(
     reservation: _state.Reservation, over_cpu: int, over_memory: int
 ) -> ReliefAction | None:
     may_evict = (
--- a/chestnuttide/placement/_scoring.py
+++ b/chestnuttide/placement/_scoring.py
@@ -1,12 +1,12 @@
-"""Choice of the worker for one task."""
+"""Choice of the worker for a single task, packed or spread."""
 
 import collections.abc
 
 import attrs
 
 from chestnuttide import model
+from chestnuttide.placement import _gang_reservation
 from chestnuttide.placement import _health
-from chestnuttide.placement import _holds
 from chestnuttide.placement import _index
 from chestnuttide.placement import _ranking
 from chestnuttide.placement import _state
@@ -14,7 +14,7 @@
 
 @attrs.define(kw_only=True, slots=True)
 class SpreadCounts:
-    """How many tasks of one job run in each place.
+    """Number of tasks of one job per worker, rack and data centre.
 
     Attributes
     ----------
@@ -34,7 +34,7 @@
 def count_spread(
     cell: _state.Cell, worker_ids: collections.abc.Iterable[str]
 ) -> SpreadCounts:
-    """Return the counts of a job with one task on each listed worker.
+    """Return the counts of a job with one task per listed worker.
 
     A worker that runs several tasks is listed several times.
     """
@@ -47,7 +47,7 @@
 def count_task(
     cell: _state.Cell, counts: SpreadCounts, worker_id: str
 ) -> None:
-    """Add one task on a worker to the counts; ignores unknown workers."""
+    """Count one task on a worker; unknown workers are ignored."""
     worker = cell.workers.get(worker_id)
     if worker is None:
         return
@@ -69,72 +69,81 @@
     now: float,
     expected_run_s: float | None = None,
 ) -> str | None:
-    """Return the worker for one task, or None if it fits nowhere now.
+    """Return the worker for one task, or None if no worker has the capacity.
 
-    Packed work goes where it leaves least of its binding dimension. Spread
-    work goes to the data centre, then the rack, then the worker with the
-    fewest tasks of the job, and among equals to where most is free; within a
-    data centre, workers with accelerators come last for work without them.
+    Packed work is placed where it leaves the least of its scarcest dimension.
+    Spread work is placed in the data centre, then the rack, then on the
+    worker with the fewest tasks of the job; ties go to the data
+    centre with the most free processors, and to the worker with the fewest
+    accelerators left and then the most free processors. Within a data centre,
+    work that needs no accelerators gets a worker with accelerators only if no
+    other fits.
 
     Parameters
     ----------
     cell : Cell
-        The cell; no reservation is made.
+        The cell; nothing is reserved.
     need : Resources
-        What the task needs.
+        Resources that the task needs.
     spread : bool
-        Whether the job's tasks are spread; otherwise they are packed.
+        Whether the tasks of the job are spread; otherwise they are packed.
     spread_counts : SpreadCounts or None
-        Where the job's tasks run; None for nowhere.
+        Running tasks of the job; None if there are none.
     excluded : set of str
-        Workers that are left out.
+        Workers not to be considered.
     now : float
         Time in seconds.
     expected_run_s : float, optional
-        Expected run time in seconds. Workers held for a gang are considered
-        only if the task ends before the gang is expected to start.
+        Expected run time in seconds. Workers reserved for a gang are
+        considered only if the task ends before the gang is expected to start.
     """
     _health.open_probes(cell, now)
-    _holds.expire(cell, now)
+    _gang_reservation.expire(cell, now)
     counts = (spread_counts or SpreadCounts()) if spread else None
-    found = _choose_in(
-        cell, cell.open, need=need, counts=counts, excluded=excluded
+    found = _choose_from_index(
+        cell, cell.open_index, need=need, counts=counts, excluded=excluded
     )
-    if found is None and _holds.may_backfill(
+    if found is None and _gang_reservation.may_backfill(
         cell, expected_run_s=expected_run_s, now=now
     ):
-        found = _choose_in(
-            cell, cell.held, need=need, counts=counts, excluded=excluded
+        found = _choose_from_index(
+            cell,
+            cell.reserved_index,
+            need=need,
+            counts=counts,
+            excluded=excluded,
         )
     return found
 
 
 def largest_worker_fits(cell: _state.Cell, need: model.Resources) -> bool:
-    """Return whether some live worker could hold the need when empty."""
+    """Return whether the need fits on some live worker when it is empty."""
     return gang_capacity(cell, need) > 0
 
 
 def gang_capacity(cell: _state.Cell, need: model.Resources) -> int:
-    """Return how many tasks of a need the live workers hold when empty."""
+    """Return how many tasks of a need fit on the live workers when empty."""
     return sum(
-        count * times(need, capacity)
+        count * fit_count(need, capacity)
         for capacity, count in cell.capacities.items()
     )
 
 
-# What `times` gives for a need of nothing, which fits without limit.
+# Result of `fit_count` for an empty need, which fits any number of times.
 UNLIMITED = 1 << 30
 
 
-def times(need: model.Resources, free: model.Resources) -> int:
-    """Return how often a need fits into a free amount."""
-    return times_of(need, free.cpu_millis, free.memory_mb, free.accelerators)
+def fit_count(need: model.Resources, free: model.Resources) -> int:
+    """Return how many times a need fits into free resources."""
+    return fit_count_of(
+        need, free.cpu_millis, free.memory_mb, free.accelerators
+    )
 
 
-def times_of(
+def fit_count_of(
     need: model.Resources, cpu: int, memory: int, accelerators: int
 ) -> int:
-    """Return how often a need fits into separate free amounts."""
+    """Return how many times a need fits into the given free amounts."""
     if cpu < 0 or memory < 0 or accelerators < 0:
         return 0
     count = UNLIMITED
@@ -147,7 +156,7 @@
     return count
 
 
-def _choose_in(
+def _choose_from_index(
     cell: _state.Cell,
     index: _state.Index,
     *,
@@ -157,14 +166,14 @@
 ) -> str | None:
     if counts is None:
         return _index.best_fit(index, need=need, excluded=excluded)
-    in_centres = counts.data_centres
+    tasks_by_centre = counts.data_centres
     order = [
-        (in_centres.get(name, 0), -centre.free_cpu, name)
+        (tasks_by_centre.get(name, 0), -centre.free_cpu, name)
         for name, centre in index.centres.items()
     ]
     order.sort()
     for position, (_count, _free, name) in enumerate(order):
-        # A full cell is recognised without a look at each data centre.
+        # Detects a full cell without searching every data centre.
         if position == 1 and (
             _index.best_fit(index, need=need, excluded=excluded) is None
         ):
@@ -185,20 +194,20 @@
 def _least_loaded(
     cell: _state.Cell,
     name: str,
-    centre: _state.Centre,
+    centre: _state.DataCentreIndex,
     *,
     need: model.Resources,
     counts: SpreadCounts,
     excluded: frozenset[str] | set[str],
 ) -> str | None:
     """Return the best worker of a data centre for spread work."""
-    floor = _rack_floor(cell, name, counts)
-    in_racks = counts.racks
+    min_in_rack = _min_rack_tasks(cell, name, counts)
+    tasks_by_rack = counts.racks
     workers = cell.workers
     for accelerated in (False, True):
         best: tuple[int, int, int, int, str] | None = None
-        for (has, free), ranking in centre.rankings.items():
-            if has is not accelerated or free < need.accelerators:
+        for (has_accelerators, free), ranking in centre.rankings.items():
+            if has_accelerators is not accelerated or free < need.accelerators:
                 continue
             for cpu, _memory, worker_id in _ranking.descending(
                 ranking,
@@ -207,7 +216,7 @@
             ):
                 if worker_id in excluded:
                     continue
-                in_rack = in_racks.get((name, workers[worker_id].rack), 0)
+                in_rack = tasks_by_rack.get((name, workers[worker_id].rack), 0)
                 if best is not None and in_rack > best[0]:
                     continue
                 rank = (
@@ -219,18 +228,18 @@
                 )
                 if best is None or rank < best:
                     best = rank
-                # No later entry can have fewer tasks, or more free.
-                if in_rack <= floor and not rank[1]:
+                # No later entry has fewer tasks or more free processors.
+                if in_rack <= min_in_rack and not rank[1]:
                     break
         if best is not None:
             return best[-1]
     return None
 
 
-def _rack_floor(cell: _state.Cell, name: str, counts: SpreadCounts) -> int:
-    """Return a lower bound of the job's tasks in a rack of a centre."""
+def _min_rack_tasks(cell: _state.Cell, name: str, counts: SpreadCounts) -> int:
+    """Return a lower bound of the job's tasks per rack of a data centre."""
     racks = cell.racks[name]
     if counts.data_centres.get(name, 0) < len(racks):
-        # Some rack has no task of the job.
+        # At least one rack runs no task of the job.
         return 0
     return min(counts.racks.get((name, rack), 0) for rack in racks)
--- a/chestnuttide/placement/_state.py
+++ b/chestnuttide/placement/_state.py
@@ -13,7 +13,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Reservation:
-    """Resources that one attempt holds on one worker.
+    """Resources reserved for one attempt on one worker.
 
     Attributes
     ----------
@@ -24,32 +24,32 @@
     need : Resources
         Exact amount reserved.
     priority : int
-        Importance; work of a higher priority may evict it.
+        Priority; work of a higher priority may evict it.
     preemptible : bool
-        Whether it may be evicted for more important work.
+        Whether it may be evicted for work of a higher priority.
     checkpoint : bool
         Whether it is checkpointed before eviction.
     throttle : bool
-        Whether its processor use may be throttled.
+        Whether its processor usage may be throttled.
     urgent : bool
-        Whether it is urgent work.
+        Whether its job is urgent.
     reclaimed : bool
-        Whether it runs on capacity that others reserved and do not use.
+        Whether it runs on capacity that is reserved by others but unused.
     started : float
         Time of the reservation, in seconds.
     expected_end : float
-        Time at which it is expected to end, in seconds; infinite when it is
-        not expected to end.
+        Time at which it is expected to end, in seconds; infinite for
+        long-running work.
     samples : int
-        Usage samples seen.
+        Number of usage samples received.
     used_cpu, used_memory : int
         Last reported usage; the reserved amount until the first sample.
     peak_cpu, peak_memory : float
-        Slowly decaying peak of the reported usage.
-    charged_cpu, charged_memory : int
-        Usage that reclaiming assumes for it.
+        Decaying peak of the reported usage.
+    estimated_cpu, estimated_memory : int
+        Conservative usage estimate that reclaiming relies on.
     throttle_samples : int
-        Usage samples since it was throttled; -1 when it is not throttled.
+        Usage samples since it was throttled; -1 while it is not throttled.
     """
 
     attempt: model.Attempt
@@ -68,14 +68,14 @@
     used_memory: int = 0
     peak_cpu: float = 0.0
     peak_memory: float = 0.0
-    charged_cpu: int = 0
-    charged_memory: int = 0
+    estimated_cpu: int = 0
+    estimated_memory: int = 0
     throttle_samples: int = -1
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
-class Evictable:
-    """What the preemptible attempts of one priority hold on one worker.
+class EvictableTotals:
+    """Totals of the preemptible attempts of one priority on one worker.
 
     Attributes
     ----------
@@ -93,7 +93,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Group:
-    """Workers of one shape with the same number of free accelerators.
+    """Workers of one shape that have equally many free accelerators.
 
     Attributes
     ----------
@@ -114,9 +114,10 @@
     Attributes
     ----------
     members : int
-        Number of workers in the index.
+        Number of workers of this shape in the index.
     cpu_millis, memory_mb : int
-        Sum of their capacities; gives the scale of each dimension.
+        Sum of their capacities; the scale to which each dimension is
+        normalised.
     groups : dict of int to Group
         Groups by free accelerators; no group is empty.
     order : list of int
@@ -130,13 +131,13 @@
     order: list[int] = attrs.field(factory=list)
 
 
-# Accelerators of the capacity, and the magnitude (bit length) of processors
-# and memory. The magnitude bounds the number of shapes in a mixed pool.
+# Number of accelerators, and the bit lengths of the processor and memory
+# capacities. Bit lengths bound the number of shapes in a heterogeneous pool.
 ShapeKey = tuple[int, int, int]
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
-class Centre:
+class DataCentreIndex:
     """Indexed workers of one data centre.
 
     Attributes
@@ -144,8 +145,9 @@
     free_cpu : int
         Sum of their free processors.
     rankings : dict of (bool, int) to Ranking
-        Entries (free processors, free memory, worker id) by whether the
-        worker has accelerators and how many are free; no ranking is empty.
+        Entries (free processors, free memory, worker id). The key tells
+        whether the workers have accelerators, and how many are free. No
+        ranking is empty.
     """
 
     free_cpu: int = 0
@@ -156,7 +158,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Index:
-    """Workers that take work, ordered by what they have free.
+    """Workers that accept work, ordered by their free capacity.
 
     Attributes
     ----------
@@ -164,31 +166,31 @@
         Workers without accelerators.
     accelerated : dict of ShapeKey to Shape
         Workers with accelerators.
-    centres : dict of str to Centre
+    centres : dict of str to DataCentreIndex
         The same workers by data centre.
     """
 
     plain: dict[ShapeKey, Shape] = attrs.field(factory=dict)
     accelerated: dict[ShapeKey, Shape] = attrs.field(factory=dict)
-    centres: dict[str, Centre] = attrs.field(factory=dict)
+    centres: dict[str, DataCentreIndex] = attrs.field(factory=dict)
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
-class Place:
-    """Where a worker is found in an index.
+class IndexPosition:
+    """Position of a worker in an index.
 
     Attributes
     ----------
     index : Index
-        The index that holds it.
+        The index that contains it.
     shape : ShapeKey
         Its shape.
     data_centre : str
         Its data centre.
     capacity : Resources
-        Capacity that the shape's sums include.
+        Capacity that is included in the sums of the shape.
     cpu_millis, memory_mb, accelerators : int
-        Free amounts under which it is filed.
+        Free amounts by which it is indexed.
     """
 
     index: Index
@@ -202,58 +204,61 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Worker:
-    """One worker and what runs on it.
+    """One worker and the reservations on it.
 
     Attributes
     ----------
     worker_id : str
         Instance id.
     data_centre, rack : str
-        Where it stands.
+        Its location.
     state : InstanceState
-        State in the platform's list.
+        State in the instance list of the platform.
     capacity : Resources
-        What it offers.
+        Its total resources.
     reservations : dict of Attempt to Reservation
-        What runs on it.
-    firm_cpu, firm_memory : int
-        Sum of the reservations that are not reclaimed.
-    strict_cpu, strict_memory : int
-        Sum of the reservations that cannot be throttled, reclaimed or not.
-    pinned_memory : int
-        Memory of the reservations that cannot be checkpointed.
+        Reservations by attempt.
+    guaranteed_cpu, guaranteed_memory : int
+        Sum of the reservations that do not use reclaimed capacity.
+    unthrottleable_cpu, unthrottleable_memory : int
+        Sum of the reservations that cannot be throttled, whether or not they
+        use reclaimed capacity.
+    uncheckpointable_memory : int
+        Memory of the reservations that cannot be checkpointed, whether or
+        not they use reclaimed capacity.
     accelerators : int
-        Accelerators of all reservations; they are never reclaimed.
+        Accelerators of all reservations; accelerators are never reclaimed.
     free_cpu, free_memory, free_accelerators : int
-        What exact reservations may still take; negative after an excess.
-    evictable : dict of int to Evictable
-        Preemptible work by priority.
-    charged_cpu, charged_memory : int
-        Usage that reclaiming assumes for all reservations.
+        Capacity still available to guaranteed reservations; negative while
+        the reservations exceed the capacity.
+    evictable : dict of int to EvictableTotals
+        Totals of the preemptible attempts by priority.
+    estimated_cpu, estimated_memory : int
+        Sum of the usage estimates of all reservations.
     used_cpu, used_memory : int
-        Last reported usage of all reservations.
-    place : Place or None
-        Where it is indexed; None while it takes no work.
-    yield_entry : Entry or None
-        Where it is ranked by what it has free after all evictions.
-    yield_accelerated : bool
-        Whether it is ranked there among workers with accelerators.
+        Sum of the last reported usage of all reservations.
+    position : IndexPosition or None
+        Its position in an index; None while it accepts no work.
+    eviction_entry : Entry or None
+        Its entry in `Cell.eviction_rankings`.
+    eviction_accelerated : bool
+        Whether that entry is in the ranking of workers with accelerators.
     reclaim_entry : Entry or None
-        Where it is ranked by reclaimable capacity.
-    held : bool
-        Whether it is held for a gang.
-    suspects : dict of TaskKey to None
+        Its entry in `Cell.reclaimable`.
+    reserved_for_gang : bool
+        Whether it is reserved for a gang.
+    recent_failures : dict of TaskKey to None
         Tasks that failed on it since its last success.
     ejected : bool
-        Whether it is ejected by outcome.
+        Whether it is ejected because of the outcomes of its tasks.
     ejected_since, probe_at : float
-        Time of the ejection, and time from which it is probed.
+        Time of the ejection, and time from which it may run a probe.
     probing : bool
-        Whether an ejected worker is open to one probe.
+        Whether it is ejected and may run one probe.
     probe : Attempt or None
-        The probe that runs.
+        The running probe.
     probe_task : TaskKey or None
-        Task of the last probe whose outcome is not known.
+        Task of the last probe whose outcome is still unknown.
     """
 
     worker_id: str
@@ -262,26 +267,26 @@
     state: model.InstanceState = model.InstanceState.GONE
     capacity: model.Resources = model.ZERO
     reservations: dict[model.Attempt, Reservation] = attrs.field(factory=dict)
-    firm_cpu: int = 0
-    firm_memory: int = 0
-    strict_cpu: int = 0
-    strict_memory: int = 0
-    pinned_memory: int = 0
+    guaranteed_cpu: int = 0
+    guaranteed_memory: int = 0
+    unthrottleable_cpu: int = 0
+    unthrottleable_memory: int = 0
+    uncheckpointable_memory: int = 0
     accelerators: int = 0
     free_cpu: int = 0
     free_memory: int = 0
     free_accelerators: int = 0
-    evictable: dict[int, Evictable] = attrs.field(factory=dict)
-    charged_cpu: int = 0
-    charged_memory: int = 0
+    evictable: dict[int, EvictableTotals] = attrs.field(factory=dict)
+    estimated_cpu: int = 0
+    estimated_memory: int = 0
     used_cpu: int = 0
     used_memory: int = 0
-    place: Place | None = None
-    yield_entry: _ranking.Entry | None = None
-    yield_accelerated: bool = False
+    position: IndexPosition | None = None
+    eviction_entry: _ranking.Entry | None = None
+    eviction_accelerated: bool = False
     reclaim_entry: _ranking.Entry | None = None
-    held: bool = False
-    suspects: dict[TaskKey, None] = attrs.field(factory=dict)
+    reserved_for_gang: bool = False
+    recent_failures: dict[TaskKey, None] = attrs.field(factory=dict)
     ejected: bool = False
     ejected_since: float = 0.0
     probe_at: float = math.inf
@@ -292,16 +297,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class GangPlan:
-    """Workers for a gang, and when they are expected to have room.
+    """Workers for a gang, and when they are expected to have capacity for it.
 
     Attributes
     ----------
     worker_ids : tuple of str
-        One worker per task, with repetition.
+        One worker per task; a worker may occur several times.
     starts_at : float
         Earliest time at which the gang is expected to fit, in seconds.
     expires_at : float
-        Time at which a hold for this plan ends, in seconds.
+        Time at which a reservation by this plan expires, in seconds.
     """
 
     worker_ids: tuple[str, ...]
@@ -311,7 +316,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class JobOutcomes:
-    """What is known about the outcomes of one job's tasks.
+    """Outcomes of the tasks of one job.
 
     Attributes
     ----------
@@ -321,84 +326,89 @@
         Workers on which a task of the job succeeded.
     failed_tasks : dict of int to set of str
         Workers on which each failed task failed.
-    cleared_tasks : set of int
-        Failed tasks that succeeded later.
+    recovered_tasks : set of int
+        Failed tasks that succeeded on a later attempt.
     """
 
     failed_on: dict[str, None] = attrs.field(factory=dict)
     succeeded_on: dict[str, None] = attrs.field(factory=dict)
     failed_tasks: dict[int, set[str]] = attrs.field(factory=dict)
-    cleared_tasks: set[int] = attrs.field(factory=set)
+    recovered_tasks: set[int] = attrs.field(factory=set)
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Cell:
-    """Workers of one pool and the exact reservations on them.
+    """Workers of one pool and the reservations on them.
 
     Attributes
     ----------
     limits : PoolConfig
-        Limits of the pool; those on ejection apply here.
+        Limits of the pool; only those on ejection are used here.
     workers : dict of str to Worker
         All known workers.
     reservations : dict of Attempt to Reservation
         All reservations.
-    open : Index
-        Workers that take any work.
-    held : Index
-        Workers that take only work which ends before the hold starts.
+    open_index : Index
+        Workers that accept any work.
+    reserved_index : Index
+        Workers reserved for a gang; they accept only work that is expected
+        to end before the gang starts.
     reclaimable : Ranking
-        Open workers by reclaimable processors and memory, rounded down.
-    yielding : dict of bool to Ranking
-        Workers with preemptible work, without and with accelerators, by the
-        processors and memory that they have free once all of it is evicted,
-        or more.
-    ends : dict of int to dict of Reservation to None
-        Reservations that are not reclaimed by whole seconds of their finite
-        expected end.
+        Workers of `open_index` by reclaimable processors and memory, rounded
+        down.
+    eviction_rankings : dict of bool to Ranking
+        Workers with preemptible work, by an upper bound of the processors
+        and memory that are free once all of it is evicted. The key tells
+        whether the workers have accelerators.
+    expected_ends : dict of int to dict of Reservation to None
+        Reservations with a finite expected end that do not use reclaimed
+        capacity, by the whole second of that end.
     racks : dict of str to dict of str to int
         Number of workers by data centre and rack.
-    live : int
+    live_count : int
         Number of live workers.
     capacities : dict of Resources to int
         Number of live workers by capacity.
     capacity_cpu, capacity_memory, capacity_accelerators : int
         Sum of the capacities of live workers.
     reserved_cpu, reserved_memory, reserved_accelerators : int
-        Sum of the reservations that are not reclaimed.
+        Sum of the reservations that do not use reclaimed capacity;
+        accelerators of all reservations.
     preemptible : dict of int to int
-        Number of workers with preemptible work, by its priority.
-    hold : GangPlan or None
-        The gang that workers are held for.
-    hold_key : str
-        Name of that gang.
+        Number of workers with preemptible work, by the priority of that work.
+    gang_reservation : GangPlan or None
+        Plan of the gang that workers are reserved for.
+    reserved_gang : str
+        Key of that gang, empty if there is none.
     ejected : dict of str to None
         Ejected workers, in the order of ejection.
     next_probe : float
-        Earliest time at which an ejected worker becomes open to a probe.
+        Earliest time at which an ejected worker may run a probe.
     outcomes : dict of str to JobOutcomes
-        Recent outcomes by job, least recent first.
+        Outcomes of recently reported jobs, least recently reported first.
     overcommitted : dict of str to None
         Workers whose reported usage exceeds their capacity.
     now : float
-        Latest time that was given.
+        Latest time passed to a function of this package, in seconds.
     """
 
     limits: config.PoolConfig = attrs.field(factory=config.PoolConfig)
     workers: dict[str, Worker] = attrs.field(factory=dict)
     reservations: dict[model.Attempt, Reservation] = attrs.field(factory=dict)
-    open: Index = attrs.field(factory=Index)
-    held: Index = attrs.field(factory=Index)
+    open_index: Index = attrs.field(factory=Index)
+    reserved_index: Index = attrs.field(factory=Index)
     reclaimable: _ranking.Ranking = attrs.field(factory=_ranking.Ranking)
-    yielding: dict[bool, _ranking.Ranking] = attrs.field(
+    eviction_rankings: dict[bool, _ranking.Ranking] = attrs.field(
         factory=lambda: {
             False: _ranking.Ranking(),
             True: _ranking.Ranking(),
         }
     )
-    ends: dict[int, dict[Reservation, None]] = attrs.field(factory=dict)
+    expected_ends: dict[int, dict[Reservation, None]] = attrs.field(
+        factory=dict
+    )
     racks: dict[str, dict[str, int]] = attrs.field(factory=dict)
-    live: int = 0
+    live_count: int = 0
     capacities: dict[model.Resources, int] = attrs.field(factory=dict)
     capacity_cpu: int = 0
     capacity_memory: int = 0
@@ -407,8 +417,8 @@
     reserved_memory: int = 0
     reserved_accelerators: int = 0
     preemptible: dict[int, int] = attrs.field(factory=dict)
-    hold: GangPlan | None = None
-    hold_key: str = ""
+    gang_reservation: GangPlan | None = None
+    reserved_gang: str = ""
     ejected: dict[str, None] = attrs.field(factory=dict)
     next_probe: float = math.inf
     outcomes: dict[str, JobOutcomes] = attrs.field(factory=dict)
--- a/chestnuttide/placement/tests/_builders.py
+++ b/chestnuttide/placement/tests/_builders.py
@@ -1,4 +1,4 @@
-"""Cells, workers and reservations for the tests."""
+"""Builders of cells, workers and reservations for the tests."""
 
 import math
 
@@ -40,7 +40,7 @@
     workers: dict[str, tuple[str, model.Resources]],
     pool: config.PoolConfig | None = None,
 ) -> placement.Cell:
-    """Return a cell of workers, each with its place and capacity."""
+    """Return a cell of workers; each has a data centre/rack and a capacity."""
     cell = placement.make_cell(pool)
     for worker_id, (place, capacity) in workers.items():
         placement.upsert_worker(
--- a/chestnuttide/placement/tests/_checks.py
+++ b/chestnuttide/placement/tests/_checks.py
@@ -1,4 +1,4 @@
-"""Plain recomputations that the property tests compare a cell with."""
+"""Brute-force recomputations that the property tests compare a cell with."""
 
 import collections
 import math
@@ -32,36 +32,43 @@
 
 
 def is_within_capacity(worker: _state.Worker) -> bool:
-    """Return whether each sum of exact reservations is within capacity."""
-    held = list(worker.reservations.values())
-    firm = [item for item in held if not item.reclaimed]
-    strict = [item for item in held if not item.throttle]
-    pinned = [item for item in held if not item.checkpoint]
+    """Return whether each sum of reservations is within the capacity."""
+    reservations = list(worker.reservations.values())
+    guaranteed = [item for item in reservations if not item.reclaimed]
+    unthrottleable = [item for item in reservations if not item.throttle]
+    uncheckpointable = [item for item in reservations if not item.checkpoint]
     return (
-        within(sum_needs(firm), worker.capacity)
-        and within(sum_needs(strict), worker.capacity)
-        and sum_needs(pinned)[1] <= worker.capacity.memory_mb
-        and sum_needs(held)[2] <= worker.capacity.accelerators
+        within(sum_needs(guaranteed), worker.capacity)
+        and within(sum_needs(unthrottleable), worker.capacity)
+        and sum_needs(uncheckpointable)[1] <= worker.capacity.memory_mb
+        and sum_needs(reservations)[2] <= worker.capacity.accelerators
     )
 
 
 def free_of(worker: _state.Worker) -> _Amounts:
-    held = list(worker.reservations.values())
-    firm = sum_needs([item for item in held if not item.reclaimed])
-    strict = sum_needs([item for item in held if not item.throttle])
-    pinned = sum_needs([item for item in held if not item.checkpoint])
+    reservations = list(worker.reservations.values())
+    guaranteed = sum_needs(
+        [item for item in reservations if not item.reclaimed]
+    )
+    unthrottleable = sum_needs(
+        [item for item in reservations if not item.throttle]
+    )
+    uncheckpointable = sum_needs(
+        [item for item in reservations if not item.checkpoint]
+    )
     capacity = worker.capacity
     return (
-        capacity.cpu_millis - max(firm[0], strict[0]),
-        capacity.memory_mb - max(firm[1], strict[1], pinned[1]),
-        capacity.accelerators - sum_needs(held)[2],
+        capacity.cpu_millis - max(guaranteed[0], unthrottleable[0]),
+        capacity.memory_mb
+        - max(guaranteed[1], unthrottleable[1], uncheckpointable[1]),
+        capacity.accelerators - sum_needs(reservations)[2],
     )
 
 
 def fits_on(
     worker: _state.Worker, need: model.Resources, *, gang: bool = False
 ) -> bool:
-    """Return by a plain look whether the worker takes the need now."""
+    """Return, computed afresh, whether the need fits on the worker now."""
     if worker.state is not model.InstanceState.LIVE:
         return False
     if worker.ejected and (
@@ -77,10 +84,10 @@
     )
 
 
-def times_on(
+def fit_count_on(
     worker: _state.Worker, need: model.Resources, free: _Amounts
 ) -> int:
-    """Count by trial how often a need fits."""
+    """Count how many times a need fits, one by one."""
     count = 0
     while all(
         (count + 1) * part <= left
@@ -97,7 +104,7 @@
 def earliest_fit(
     cell: placement.Cell, need: model.Resources, count: int, now: float
 ) -> float | None:
-    """Return by trial of each end when a gang is expected to fit."""
+    """Return when a gang is expected to fit, trying each expected end."""
     ends = sorted(
         {
             item.expected_end
@@ -126,7 +133,7 @@
                 for left, more in zip(free_of(worker), ended, strict=True)
             )
             if min(free) >= 0:
-                total += times_on(worker, need, free)
+                total += fit_count_on(worker, need, free)
         if total >= count:
             return moment
     return None
@@ -135,7 +142,7 @@
 def _entries(
     index: _state.Index,
 ) -> collections.Counter[tuple[str, bool, int, int, int]]:
-    """Return worker, kind and free amounts of each entry, by processors."""
+    """Count index entries by worker, accelerator flag and free amounts."""
     found: collections.Counter = collections.Counter()
     for accelerated, shapes in (
         (False, index.plain),
@@ -162,12 +169,17 @@
 
 
 def check_index(cell: placement.Cell) -> None:
-    """Compare both indexes with the workers' true free amounts."""
-    for index, held in ((cell.open, False), (cell.held, True)):
+    """Compare both indexes with the recomputed free amounts of the workers."""
+    for index, reserved in (
+        (cell.open_index, False),
+        (cell.reserved_index, True),
+    ):
         expected: collections.Counter = collections.Counter()
         by_centre: collections.Counter = collections.Counter()
         for worker in cell.workers.values():
-            if worker.held is held and fits_on(worker, model.ZERO):
+            if worker.reserved_for_gang is reserved and fits_on(
+                worker, model.ZERO
+            ):
                 cpu, memory, accelerators = free_of(worker)
                 accelerated = worker.capacity.accelerators > 0
                 expected[
@@ -192,9 +204,9 @@
                 members = [
                     worker
                     for worker in cell.workers.values()
-                    if worker.place is not None
-                    and worker.place.index is index
-                    and worker.place.shape == key
+                    if worker.position is not None
+                    and worker.position.index is index
+                    and worker.position.shape == key
                 ]
                 assert shape.members == len(members) > 0
                 assert shape.cpu_millis == sum(
@@ -219,15 +231,17 @@
         sum(worker.capacity.memory_mb for worker in live),
         sum(worker.capacity.accelerators for worker in live),
     )
-    held = list(cell.reservations.values())
-    firm = sum_needs([item for item in held if not item.reclaimed])
+    reservations = list(cell.reservations.values())
+    guaranteed = sum_needs(
+        [item for item in reservations if not item.reclaimed]
+    )
     reserved = placement.reserved_total(cell)
-    assert (reserved.cpu_millis, reserved.memory_mb) == firm[:2]
-    assert reserved.accelerators == sum_needs(held)[2]
-    ends = {item for second in cell.ends.values() for item in second}
+    assert (reserved.cpu_millis, reserved.memory_mb) == guaranteed[:2]
+    assert reserved.accelerators == sum_needs(reservations)[2]
+    ends = {item for second in cell.expected_ends.values() for item in second}
     assert ends == {
         item
-        for item in held
+        for item in reservations
         if item.expected_end < math.inf and not item.reclaimed
     }
     preemptible: collections.Counter[int] = collections.Counter()
@@ -275,7 +289,7 @@
 ) -> None:
     ranked = [
         (entry[:2], accelerated)
-        for accelerated, ranking in cell.yielding.items()
+        for accelerated, ranking in cell.eviction_rankings.items()
         for block in ranking.blocks
         for entry in block
         if entry[2] == worker.worker_id
@@ -291,11 +305,15 @@
 
 
 def _check_usage(cell: placement.Cell, worker: _state.Worker) -> None:
-    held = worker.reservations.values()
-    assert worker.used_cpu == sum(item.used_cpu for item in held)
-    assert worker.used_memory == sum(item.used_memory for item in held)
-    assert worker.charged_cpu == sum(item.charged_cpu for item in held)
-    assert worker.charged_memory == sum(item.charged_memory for item in held)
+    reservations = worker.reservations.values()
+    assert worker.used_cpu == sum(item.used_cpu for item in reservations)
+    assert worker.used_memory == sum(item.used_memory for item in reservations)
+    assert worker.estimated_cpu == sum(
+        item.estimated_cpu for item in reservations
+    )
+    assert worker.estimated_memory == sum(
+        item.estimated_memory for item in reservations
+    )
     over = (
         worker.used_cpu > worker.capacity.cpu_millis
         or worker.used_memory > worker.capacity.memory_mb
@@ -309,14 +327,14 @@
     ]
     expected = [] if worker.reclaim_entry is None else [worker.reclaim_entry]
     assert ranked == expected
-    lent = placement.reclaimable(cell, worker.worker_id)
+    reclaimable = placement.reclaimable(cell, worker.worker_id)
     for entry in ranked:
-        assert entry[0] <= lent.cpu_millis
-        assert entry[1] <= lent.memory_mb
+        assert entry[0] <= reclaimable.cpu_millis
+        assert entry[1] <= reclaimable.memory_mb
 
 
 def check_health(cell: placement.Cell) -> None:
-    """Check that few enough workers are ejected, each with one probe."""
+    """Check the list of ejected workers and its limit."""
     ejected = {
         worker.worker_id for worker in cell.workers.values() if worker.ejected
     }
--- a/chestnuttide/placement/tests/test_cells.py
+++ b/chestnuttide/placement/tests/test_cells.py
@@ -42,8 +42,8 @@
         assert placement.free_of(cell, "w") == _SIZE
 
 
-# Guards against a second reservation of one attempt, which would be released
-# only once.
+# Guards against two reservations for one attempt, of which only one would be
+# released.
 def test_reserve_twice() -> None:
     cell = builders.cell_of({"w": ("a/1", _SIZE), "v": ("a/1", _SIZE)})
     builders.reserve(cell, "w", "j", builders.amounts(1))
@@ -89,8 +89,8 @@
         builders.reserve(cell, "w", "new", builders.amounts(1))
 
 
-# Guards against placements on a worker whose adopted tasks exceed what it
-# has, before enough of them ended.
+# Guards against placements on a worker while its adopted tasks exceed its
+# capacity.
 def test_adopt_beyond_capacity() -> None:
     cell = builders.cell_of({"w": ("a/1", _SIZE)})
 
@@ -119,7 +119,7 @@
     assert builders.choose(cell, builders.amounts(500)) == "w"
 
 
-# Guards against losing tasks of a worker that the instance list, which lags,
+# Guards against losing the tasks of a worker that the lagging instance list
 # does not name yet, and against one attempt on two workers.
 def test_adopt_on_unlisted_worker() -> None:
     cell = builders.cell_of({"v": ("a/1", _SIZE)})
@@ -144,7 +144,7 @@
     assert builders.choose(cell, model.ZERO, excluded={"v"}) == "w"
 
 
-# Guards against placements by the old capacity.
+# Guards against placements that use an outdated capacity.
 def test_capacity_shrinks() -> None:
     cell = builders.cell_of({"w": ("a/1", _SIZE)})
     builders.reserve(cell, "w", "j", builders.amounts(3_000))
--- a/chestnuttide/placement/tests/test_gangs.py
+++ b/chestnuttide/placement/tests/test_gangs.py
@@ -21,7 +21,9 @@
         pytest.param(4, False, [4], id="packed_gang_is_scattered"),
         pytest.param(6, False, [2, 4], id="second_worker_is_missed"),
         pytest.param(4, True, [1, 1, 2], id="spread_gang_is_packed"),
-        pytest.param(16, True, [4, 4, 4, 4], id="full_spread_is_refused"),
+        pytest.param(
+            16, True, [4, 4, 4, 4], id="spread_over_full_capacity_is_refused"
+        ),
         pytest.param(17, False, None, id="part_of_a_gang_is_placed"),
         pytest.param(17, True, None, id="part_of_a_spread_gang_is_placed"),
     ],
@@ -46,7 +48,7 @@
 
 
 def _busy_cell() -> placement.Cell:
-    """Return a full cell; workers come free at 10.5, 20, 30 and never."""
+    """Return a full cell; its tasks end at 10.5, 20, 30 and never."""
     cell = builders.cell_of(_WORKERS)
     for name, end in (
         ("a1x", 10.5),
@@ -61,13 +63,13 @@
 @pytest.mark.parametrize(
     ("count", "now", "limit_s", "starts_at"),
     [
-        pytest.param(1, 0.0, 30.0, 10.5, id="first_end_is_missed"),
+        pytest.param(1, 0.0, 30.0, 10.5, id="first_expected_end_is_missed"),
         pytest.param(1, 10.25, 30.0, 10.5, id="end_in_this_second_is_missed"),
-        pytest.param(5, 0.0, 30.0, 20.0, id="ends_are_not_summed"),
-        pytest.param(12, 0.0, 30.0, 30.0, id="limit_excludes_its_end"),
+        pytest.param(5, 0.0, 30.0, 20.0, id="freed_capacity_is_not_summed"),
+        pytest.param(12, 0.0, 30.0, 30.0, id="end_at_the_limit_is_missed"),
         pytest.param(9, 0.0, 29.0, None, id="limit_is_ignored"),
-        pytest.param(13, 0.0, 99.0, None, id="service_is_taken_to_end"),
-        pytest.param(9, 15.0, 99.0, None, id="overdue_task_is_taken_to_end"),
+        pytest.param(13, 0.0, 99.0, None, id="service_is_assumed_to_end"),
+        pytest.param(9, 15.0, 99.0, None, id="overdue_task_is_assumed_to_end"),
         pytest.param(8, 15.0, 99.0, 30.0, id="later_ends_are_missed"),
     ],
 )
@@ -97,7 +99,7 @@
         pytest.param(10.5, 0.0, None, id="long_task_delays_gang"),
         pytest.param(10.0, 0.0, "a1x", id="backfill_is_refused"),
         pytest.param(10.0, 1.0, None, id="late_backfill_delays_gang"),
-        pytest.param(None, 30.0, "a1x", id="hold_outlives_its_limit"),
+        pytest.param(None, 30.0, "a1x", id="reservation_outlives_its_limit"),
     ],
 )
 def test_backfill(
@@ -115,14 +117,14 @@
     )
 
 
-# Guards against two reservations at once, a gang that cannot use its own
-# hold, and workers that stay held.
-def test_hold_is_single_and_owned() -> None:
+# Guards against two gang reservations at once, a gang that cannot use its own
+# reservation, and workers that stay reserved after its release.
+def test_gang_reservation_is_exclusive() -> None:
     cell = _busy_cell()
     options = {"need": _A(1_000, 1_000), "count": 1, "now": 0.0}
     plan = placement.plan_gang_reservation(cell, limit_s=30.0, **options)
     placement.hold(cell, plan=plan, key="gang", now=0.0)
-    with pytest.raises(placement.HoldConflictError):
+    with pytest.raises(placement.GangReservationConflictError):
         placement.hold(cell, plan=plan, key="other", now=0.0)
     placement.hold(cell, plan=plan, key="gang", now=0.0)
     placement.release(cell, builders.attempt("a1x"))
--- a/chestnuttide/placement/tests/test_health.py
+++ b/chestnuttide/placement/tests/test_health.py
@@ -7,7 +7,7 @@
 _SIZE = builders.amounts(4_000, 4_000)
 _POOL = config.PoolConfig(eject_failures=3, eject_s=30.0, eject_share=0.2)
 
-# Each outcome: worker, job, index, succeeded.
+# Worker, job, task index, whether it succeeded.
 _Outcome = tuple[str, str, int, bool]
 
 
@@ -44,20 +44,20 @@
 @pytest.mark.parametrize(
     ("outcomes", "expected"),
     [
-        pytest.param(_THREE, ["w0"], id="failing_worker_is_kept"),
+        pytest.param(_THREE, ["w0"], id="failing_worker_is_not_ejected"),
         pytest.param(_THREE[:2], [], id="ejected_too_soon"),
         pytest.param(
-            [("w0", "x", 0, False)] * 5, [], id="one_bad_task_ejects"
+            [("w0", "x", 0, False)] * 5, [], id="one_failing_task_ejects"
         ),
         pytest.param(
             [*_THREE[:2], ("w0", "k", 0, True), _THREE[2]],
             [],
-            id="failures_are_not_consecutive",
+            id="success_does_not_reset_failures",
         ),
         pytest.param(
             [("w1", "x", 0, False), ("w2", "y", 0, False), *_THREE],
             [],
-            id="jobs_that_fail_elsewhere_eject",
+            id="jobs_failing_elsewhere_eject",
         ),
         pytest.param(
             [
@@ -74,7 +74,7 @@
                 *[("w0", "x", index, False) for index in range(3)],
             ],
             ["w0"],
-            id="job_that_succeeds_elsewhere_excuses",
+            id="job_succeeding_elsewhere_excuses_worker",
         ),
         pytest.param(
             [
@@ -84,7 +84,7 @@
                 *[("w2", "x", index, True) for index in range(2)],
             ],
             ["w0"],
-            id="two_bad_workers_excuse_each_other",
+            id="two_faulty_workers_excuse_each_other",
         ),
     ],
 )
@@ -97,7 +97,8 @@
         assert builders.choose(cell, _SIZE, excluded=others) is None
 
 
-# Guards against a bad day that empties the pool, also when it shrinks.
+# Guards against ejecting most of a pool when tasks fail everywhere, also after
+# the pool shrank.
 def test_ejected_share() -> None:
     cell = _cell(10)
     for number in range(10):
@@ -112,8 +113,8 @@
 @pytest.mark.parametrize(
     ("probe_succeeds", "after"),
     [
-        pytest.param(True, True, id="recovered_worker_stays_out"),
-        pytest.param(False, False, id="failed_probe_readmits"),
+        pytest.param(True, True, id="recovered_worker_stays_ejected"),
+        pytest.param(False, False, id="failed_probe_readmits_worker"),
     ],
 )
 def test_probe(probe_succeeds: bool, after: bool) -> None:
@@ -136,7 +137,7 @@
     probe = builders.reserve(cell, "w0", "probe", need)
     assert choose(32.0) is None
     assert placement.is_ejected(cell, "w0")
-    # A probe that is cancelled makes room for another one.
+    # After a cancelled probe another one may start.
     placement.release(cell, probe)
     assert choose(33.0) == "w0"
     builders.reserve(cell, "w0", "probe", need)
--- a/chestnuttide/placement/tests/test_preemption.py
+++ b/chestnuttide/placement/tests/test_preemption.py
@@ -7,7 +7,7 @@
 _A = builders.amounts
 _SIZE = _A(4_000, 4_000)
 
-# Each row: worker, job, processors, priority, preemptible, checkpoint, start.
+# Worker, job, processors, priority, preemptible, checkpoint, start time.
 _Row = tuple[str, str, int, int, bool, bool, float]
 
 
@@ -24,7 +24,7 @@
             [("w", "x", 4_000, 0, False, True, 0.0)],
             1_000,
             None,
-            id="work_that_may_not_be_evicted_is",
+            id="non_preemptible_work_is_evicted",
         ),
         pytest.param(
             [
@@ -33,7 +33,7 @@
             ],
             1_000,
             ("v", ["low"]),
-            id="more_important_work_is_evicted",
+            id="higher_of_two_priorities_is_evicted",
         ),
         pytest.param(
             [
@@ -43,7 +43,7 @@
             ],
             4_000,
             ("v", ["one"]),
-            id="more_attempts_than_needed_on_another_worker",
+            id="more_attempts_than_needed_are_evicted",
         ),
         pytest.param(
             [
@@ -52,7 +52,7 @@
             ],
             3_000,
             ("w", ["large"]),
-            id="small_attempt_is_evicted_in_vain",
+            id="attempt_is_evicted_needlessly",
         ),
         pytest.param(
             [
@@ -61,7 +61,7 @@
             ],
             2_000,
             ("w", ["saved"]),
-            id="work_without_checkpoint_is_lost",
+            id="work_without_checkpoint_is_evicted",
         ),
         pytest.param(
             [
@@ -70,7 +70,7 @@
             ],
             2_000,
             ("w", ["new"]),
-            id="longest_run_is_lost",
+            id="longest_run_is_evicted",
         ),
         pytest.param(
             [
@@ -114,10 +114,10 @@
         assert (found[0], names) == expected
 
 
-# Guards against evicting below a service's minimum, and against victims on
-# excluded, leaving or held workers.
+# Guards against evicting replicas below the minimum of a service, and against
+# victims on workers that are excluded, leaving or reserved for a gang.
 @pytest.mark.parametrize(
-    "obstacle", ["protected", "excluded", "leaving", "held"]
+    "obstacle", ["protected", "excluded", "leaving", "reserved"]
 )
 def test_victims_are_spared(obstacle: str) -> None:
     cell = builders.cell_of({"w": ("a/1", _SIZE)})
--- a/chestnuttide/placement/tests/test_properties.py
+++ b/chestnuttide/placement/tests/test_properties.py
@@ -1,8 +1,8 @@
-"""Random orders of events against plain recomputations of each answer.
+"""Random event sequences, compared with brute-force recomputations.
 
 The tests guard against reservations beyond capacity, indexes that differ from
-the workers' true free amounts, answers that a plain scan contradicts, parts
-of gangs, and too many ejected workers.
+the actual free amounts of the workers, results that a full scan contradicts,
+partial gangs, and too many ejected workers.
 """
 
 import collections
@@ -37,18 +37,18 @@
 
 
 @attrs.define(kw_only=True)
-class _World:
-    """A cell, the random choices, and workers that may be over capacity."""
+class _Simulation:
+    """A cell, a random generator, and workers that may be over capacity."""
 
     cell: placement.Cell
     rng: random.Random
     now: float = 0.0
     started: int = 0
-    tainted: set[str] = attrs.field(factory=set)
+    may_exceed_capacity: set[str] = attrs.field(factory=set)
 
 
-def _draw_need(world: _World) -> model.Resources:
-    rng = world.rng
+def _draw_need(simulation: _Simulation) -> model.Resources:
+    rng = simulation.rng
     return builders.amounts(
         rng.choice((0, 250, 1_000, 1_500, 4_000)),
         rng.choice((0, 300, 1_000, 2_000, 7_000)),
@@ -56,15 +56,17 @@
     )
 
 
-def _draw_worker(world: _World) -> str:
-    return f"w{world.rng.randrange(8)}"
+def _draw_worker(simulation: _Simulation) -> str:
+    return f"w{simulation.rng.randrange(8)}"
 
 
-def _options(world: _World) -> dict[str, object]:
-    rng = world.rng
+def _options(simulation: _Simulation) -> dict[str, object]:
+    rng = simulation.rng
     return {
         "attempt": model.Attempt(
-            job_id=f"j{world.started % 7}", index=world.started, number=1
+            job_id=f"j{simulation.started % 7}",
+            index=simulation.started,
+            number=1,
         ),
         "priority": rng.randrange(4),
         "preemptible": rng.random() < 0.6,
@@ -72,56 +74,61 @@
         "throttle": rng.random() < 0.5,
         "urgent": rng.random() < 0.2,
         "expected_end": rng.choice(
-            (math.inf, *(world.now + rng.uniform(0.0, 20.0) for _ in range(3)))
+            (
+                math.inf,
+                *(simulation.now + rng.uniform(0.0, 20.0) for _ in range(3)),
+            )
         ),
     }
 
 
-def _upsert(world: _World) -> None:
-    worker_id = _draw_worker(world)
-    rng = world.rng
-    if worker_id in world.cell.workers:
-        world.tainted.add(worker_id)
+def _upsert(simulation: _Simulation) -> None:
+    worker_id = _draw_worker(simulation)
+    rng = simulation.rng
+    if worker_id in simulation.cell.workers:
+        simulation.may_exceed_capacity.add(worker_id)
     placement.upsert_worker(
-        world.cell,
+        simulation.cell,
         builders.instance(
             worker_id,
             rng.choice(_CAPACITIES),
             state=rng.choice(_STATES),
             place=rng.choice(("a/1", "a/2", "b/1", "c/1", "c/2")),
         ),
-        world.now,
+        simulation.now,
     )
 
 
-def _grow(world: _World) -> None:
-    """Add a live worker if its id is free."""
-    worker_id = _draw_worker(world)
-    if worker_id not in world.cell.workers:
-        capacity = world.rng.choice(_CAPACITIES)
+def _add_live_worker(simulation: _Simulation) -> None:
+    """Add a live worker unless its id is in use."""
+    worker_id = _draw_worker(simulation)
+    if worker_id not in simulation.cell.workers:
+        capacity = simulation.rng.choice(_CAPACITIES)
         placement.upsert_worker(
-            world.cell,
+            simulation.cell,
             builders.instance(
-                worker_id, capacity, place=world.rng.choice(("a/1", "b/1"))
+                worker_id,
+                capacity,
+                place=simulation.rng.choice(("a/1", "b/1")),
             ),
-            world.now,
+            simulation.now,
         )
 
 
-def _remove(world: _World) -> None:
-    worker_id = _draw_worker(world)
-    placement.remove_worker(world.cell, worker_id)
-    world.tainted.discard(worker_id)
+def _remove(simulation: _Simulation) -> None:
+    worker_id = _draw_worker(simulation)
+    placement.remove_worker(simulation.cell, worker_id)
+    simulation.may_exceed_capacity.discard(worker_id)
 
 
 def _check_spread(
-    world: _World,
+    simulation: _Simulation,
     chosen: str,
     fitting: list[str],
     counts: placement.SpreadCounts,
 ) -> None:
-    """Compare a spread choice with the least of all fitting workers."""
-    workers = world.cell.workers
+    """Compare a spread choice with the minimum over all fitting workers."""
+    workers = simulation.cell.workers
 
     def in_centre(worker_id: str) -> int:
         return counts.data_centres.get(workers[worker_id].data_centre, 0)
@@ -143,15 +150,15 @@
     )
 
 
-def _place(world: _World) -> None:
-    cell = world.cell
-    rng = world.rng
-    need = _draw_need(world)
+def _place(simulation: _Simulation) -> None:
+    cell = simulation.cell
+    rng = simulation.rng
+    need = _draw_need(simulation)
     spread = rng.random() < 0.4
     counts = placement.count_spread(
-        cell, [_draw_worker(world) for _ in range(rng.randrange(8))]
+        cell, [_draw_worker(simulation) for _ in range(rng.randrange(8))]
     )
-    excluded = {_draw_worker(world) for _ in range(rng.randrange(3))}
+    excluded = {_draw_worker(simulation) for _ in range(rng.randrange(3))}
     run_s = rng.choice((None, 1.0, 30.0))
     chosen = builders.choose(
         cell,
@@ -159,125 +166,131 @@
         spread=spread,
         spread_counts=counts,
         excluded=excluded,
-        now=world.now,
+        now=simulation.now,
         expected_run_s=run_s,
     )
     backfill = (
-        cell.hold is not None
+        cell.gang_reservation is not None
         and run_s is not None
-        and world.now + run_s <= cell.hold.starts_at
+        and simulation.now + run_s <= cell.gang_reservation.starts_at
     )
     fitting = [
         worker.worker_id
         for worker in cell.workers.values()
         if checks.fits_on(worker, need)
         and worker.worker_id not in excluded
-        and (backfill or not worker.held)
+        and (backfill or not worker.reserved_for_gang)
+    ]
+    unreserved = [
+        item for item in fitting if not cell.workers[item].reserved_for_gang
     ]
-    opened = [item for item in fitting if not cell.workers[item].held]
     if chosen is None:
         assert not fitting
         return
-    assert chosen in (opened or fitting)
+    assert chosen in (unreserved or fitting)
     if spread:
-        _check_spread(world, chosen, opened or fitting, counts)
+        _check_spread(simulation, chosen, unreserved or fitting, counts)
     elif need.accelerators == 0 and cell.workers[chosen].capacity.accelerators:
         assert all(
             cell.workers[item].capacity.accelerators
-            for item in opened or fitting
+            for item in unreserved or fitting
         )
-    builders.reserve(cell, chosen, "", need, **_options(world))
-    world.started += 1
+    builders.reserve(cell, chosen, "", need, **_options(simulation))
+    simulation.started += 1
 
 
-def _reserve_blindly(world: _World) -> None:
-    """Reserve without asking; the cell refuses what does not fit."""
-    cell = world.cell
-    worker_id = _draw_worker(world)
-    need = _draw_need(world)
+def _reserve_blindly(simulation: _Simulation) -> None:
+    """Reserve on a random worker; the cell must refuse what does not fit."""
+    cell = simulation.cell
+    worker_id = _draw_worker(simulation)
+    need = _draw_need(simulation)
     worker = cell.workers.get(worker_id)
     fits = worker is not None and checks.fits_on(worker, need)
     try:
-        builders.reserve(cell, worker_id, "", need, **_options(world))
+        builders.reserve(cell, worker_id, "", need, **_options(simulation))
     except (placement.CapacityError, placement.WorkerUnavailableError):
         assert not fits
     else:
         assert fits
-        world.started += 1
+        simulation.started += 1
 
 
-def _adopt(world: _World) -> None:
-    worker_id = _draw_worker(world)
-    world.tainted.add(worker_id)
+def _adopt(simulation: _Simulation) -> None:
+    worker_id = _draw_worker(simulation)
+    simulation.may_exceed_capacity.add(worker_id)
     placement.adopt(
-        world.cell,
+        simulation.cell,
         worker_id=worker_id,
-        need=_draw_need(world),
-        started=world.now,
-        **_options(world),
+        need=_draw_need(simulation),
+        started=simulation.now,
+        **_options(simulation),
     )
-    world.started += 1
+    simulation.started += 1
 
 
-def _release(world: _World) -> None:
-    held = list(world.cell.reservations)
+def _release(simulation: _Simulation) -> None:
+    held = list(simulation.cell.reservations)
     if held:
-        attempt = world.rng.choice(held)
-        placement.release(world.cell, attempt)
-        if world.rng.random() < 0.7:
-            _record(world, attempt)
+        attempt = simulation.rng.choice(held)
+        placement.release(simulation.cell, attempt)
+        if simulation.rng.random() < 0.7:
+            _record(simulation, attempt)
 
 
-def _record(world: _World, attempt: model.Attempt) -> None:
+def _record(simulation: _Simulation, attempt: model.Attempt) -> None:
     placement.record_outcome(
-        world.cell,
-        worker_id=_draw_worker(world),
+        simulation.cell,
+        worker_id=_draw_worker(simulation),
         task=(attempt.job_id, attempt.index),
-        succeeded=world.rng.random() < 0.3,
-        now=world.now,
+        succeeded=simulation.rng.random() < 0.3,
+        now=simulation.now,
     )
 
 
-def _use(world: _World) -> None:
-    held = list(world.cell.reservations.values())
-    for item in world.rng.sample(held, min(len(held), 6)):
-        share = world.rng.choice((0.05, 0.2, 0.5, 1.3))
-        for _ in range(world.rng.choice((1, 6))):
+def _report_usage(simulation: _Simulation) -> None:
+    held = list(simulation.cell.reservations.values())
+    for item in simulation.rng.sample(held, min(len(held), 6)):
+        share = simulation.rng.choice((0.05, 0.2, 0.5, 1.3))
+        for _ in range(simulation.rng.choice((1, 6))):
             placement.record_usage(
-                world.cell,
+                simulation.cell,
                 item.attempt,
                 builders.amounts(
                     int(item.need.cpu_millis * share),
                     int(item.need.memory_mb * share),
                 ),
-                world.now,
+                simulation.now,
             )
 
 
-def _lend(world: _World) -> None:
-    options = _options(world)
-    need = _draw_need(world)
+def _place_reclaimed(simulation: _Simulation) -> None:
+    options = _options(simulation)
+    need = _draw_need(simulation)
     kind = {name: options[name] for name in ("checkpoint", "throttle")}
     chosen = placement.choose_reclaimed_worker(
-        world.cell, need=need, excluded=frozenset(), now=world.now, **kind
+        simulation.cell,
+        need=need,
+        excluded=frozenset(),
+        now=simulation.now,
+        **kind,
     )
     if chosen is not None:
-        lent = placement.reclaimable(world.cell, chosen)
-        assert model.fits(need, lent)
+        reclaimable = placement.reclaimable(simulation.cell, chosen)
+        assert model.fits(need, reclaimable)
         assert any(kind.values())
         builders.reserve(
-            world.cell, chosen, "", need, reclaimed=True, **options
+            simulation.cell, chosen, "", need, reclaimed=True, **options
         )
-        world.started += 1
+        simulation.started += 1
 
 
 def _may_yield(item: placement.Reservation) -> bool:
     return item.reclaimed or item.checkpoint or item.preemptible
 
 
-def _relieve(world: _World) -> None:
-    """Act on the named attempts until usage is within capacity again."""
-    cell = world.cell
+def _relieve_overcommitted(simulation: _Simulation) -> None:
+    """Throttle or evict attempts until usage is within capacity again."""
+    cell = simulation.cell
     for _round in range(3):
         for relief in placement.overcommitted(cell):
             reservation = placement.reservation_of(cell, relief.attempt)
@@ -291,7 +304,9 @@
             placement.mark_throttled(cell, relief.attempt, throttled=True)
             usage = builders.amounts(0, reservation.used_memory)
             for _sample in range(2):
-                placement.record_usage(cell, relief.attempt, usage, world.now)
+                placement.record_usage(
+                    cell, relief.attempt, usage, simulation.now
+                )
     for worker_id in cell.overcommitted:
         worker = cell.workers[worker_id]
         over_cpu = worker.used_cpu > worker.capacity.cpu_millis
@@ -308,136 +323,141 @@
                 assert not (over_memory and item.used_memory)
 
 
-def _gang(world: _World) -> None:
-    cell = world.cell
-    need = _draw_need(world)
-    count = world.rng.randrange(1, 9)
-    use_hold = world.rng.random() < 0.5
+def _place_gang(simulation: _Simulation) -> None:
+    cell = simulation.cell
+    need = _draw_need(simulation)
+    count = simulation.rng.randrange(1, 9)
+    use_hold = simulation.rng.random() < 0.5
     before = placement.reserved_total(cell)
     chosen = placement.choose_gang(
         cell,
         need=need,
         count=count,
-        spread=world.rng.random() < 0.5,
+        spread=simulation.rng.random() < 0.5,
         excluded=frozenset(),
-        now=world.now,
+        now=simulation.now,
         use_hold=use_hold,
     )
     assert placement.reserved_total(cell) == before
-    room = {
+    free_slots = {
         worker.worker_id: count
         if need == model.ZERO
-        else checks.times_on(worker, need, checks.free_of(worker))
+        else checks.fit_count_on(worker, need, checks.free_of(worker))
         for worker in cell.workers.values()
         if checks.fits_on(worker, need, gang=True)
-        and (use_hold or not worker.held)
+        and (use_hold or not worker.reserved_for_gang)
     }
     if chosen is None:
-        assert sum(room.values()) < count
+        assert sum(free_slots.values()) < count
         return
     assert len(chosen) == count
     for worker_id, tasks in collections.Counter(chosen).items():
-        assert tasks <= room[worker_id]
+        assert tasks <= free_slots[worker_id]
     for worker_id in chosen:
-        builders.reserve(cell, worker_id, "", need, **_options(world))
-        world.started += 1
+        builders.reserve(cell, worker_id, "", need, **_options(simulation))
+        simulation.started += 1
 
 
-def _plan(world: _World) -> None:
-    cell = world.cell
-    need = attrs.evolve(_draw_need(world), cpu_millis=1_500)
-    count = world.rng.randrange(1, 16)
-    limit_s = world.rng.choice((5.0, 25.0))
+def _plan_gang(simulation: _Simulation) -> None:
+    cell = simulation.cell
+    need = attrs.evolve(_draw_need(simulation), cpu_millis=1_500)
+    count = simulation.rng.randrange(1, 16)
+    limit_s = simulation.rng.choice((5.0, 25.0))
     for _ in range(5):
-        if checks.earliest_fit(cell, need, count, world.now) != world.now:
+        if (
+            checks.earliest_fit(cell, need, count, simulation.now)
+            != simulation.now
+        ):
             break
         count += 4
     plan = placement.plan_gang_reservation(
-        cell, need=need, count=count, now=world.now, limit_s=limit_s
+        cell, need=need, count=count, now=simulation.now, limit_s=limit_s
     )
     if not any(item.reclaimed for item in cell.reservations.values()):
-        earliest = checks.earliest_fit(cell, need, count, world.now)
-        if earliest is not None and earliest > world.now + limit_s:
+        earliest = checks.earliest_fit(cell, need, count, simulation.now)
+        if earliest is not None and earliest > simulation.now + limit_s:
             earliest = None
         assert (plan.starts_at if plan else None) == earliest
-    if plan is not None and cell.hold is None:
+    if plan is not None and cell.gang_reservation is None:
         assert len(plan.worker_ids) == count
-        placement.hold(cell, plan=plan, key="gang", now=world.now)
+        placement.hold(cell, plan=plan, key="gang", now=simulation.now)
 
 
-def _release_hold(world: _World) -> None:
-    placement.release_hold(world.cell)
-    assert not any(worker.held for worker in world.cell.workers.values())
+def _release_hold(simulation: _Simulation) -> None:
+    placement.release_hold(simulation.cell)
+    assert not any(
+        worker.reserved_for_gang for worker in simulation.cell.workers.values()
+    )
 
 
-def _preempt(world: _World) -> None:
-    cell = world.cell
-    need = _draw_need(world)
+def _preempt(simulation: _Simulation) -> None:
+    cell = simulation.cell
+    need = _draw_need(simulation)
     for _ in range(5):
         if not any(
             checks.fits_on(worker, need) for worker in cell.workers.values()
         ):
             break
-        need = model.add(need, _draw_need(world))
-    priority = world.rng.randrange(1, 5)
+        need = model.add(need, _draw_need(simulation))
+    priority = simulation.rng.randrange(1, 5)
     found = placement.choose_victims(
         cell,
         need=need,
         priority=priority,
-        now=world.now,
+        now=simulation.now,
         excluded=frozenset(),
     )
 
-    def room_without(worker: object, gone: set[model.Attempt]) -> bool:
+    def fits_without(worker: object, evicted: set[model.Attempt]) -> bool:
         left = {
             name: item
             for name, item in worker.reservations.items()
-            if name not in gone
+            if name not in evicted
         }
         return checks.fits_on(attrs.evolve(worker, reservations=left), need)
 
     if found is None:
         for worker in cell.workers.values():
-            gone = {
+            evicted = {
                 item.attempt
                 for item in worker.reservations.values()
                 if item.preemptible and item.priority < priority
             }
-            if gone and not worker.held and not worker.ejected:
-                assert not room_without(worker, gone)
+            if evicted and not worker.reserved_for_gang and not worker.ejected:
+                assert not fits_without(worker, evicted)
         return
     worker = cell.workers[found[0]]
     victims = set(found[1])
-    assert room_without(worker, victims)
+    assert fits_without(worker, victims)
     for victim in victims:
         item = cell.reservations[victim]
         assert item.preemptible
         assert item.priority < priority
-        # Each victim is needed.
-        assert not room_without(worker, victims - {victim})
+        # No victim is evicted needlessly.
+        assert not fits_without(worker, victims - {victim})
         placement.release(cell, victim)
 
 
-def _advance(world: _World) -> None:
-    world.now += world.rng.choice((0.5, 3.0, 10.0))
+def _advance_time(simulation: _Simulation) -> None:
+    simulation.now += simulation.rng.choice((0.5, 3.0, 10.0))
 
 
 _EVENTS = (
-    (_grow, 3),
+    (_add_live_worker, 3),
     (_upsert, 1),
     (_remove, 1),
     (_place, 16),
     (_reserve_blindly, 3),
     (_adopt, 1),
     (_release, 4),
-    (_use, 4),
-    (_lend, 4),
-    (_relieve, 2),
-    (_gang, 2),
-    (_plan, 3),
+    (_report_usage, 4),
+    (_place_reclaimed, 4),
+    (_relieve_overcommitted, 2),
+    (_place_gang, 2),
+    (_plan_gang, 3),
     (_release_hold, 1),
     (_preempt, 5),
-    (_advance, 2),
+    (_advance_time, 2),
 )
 
 
@@ -448,28 +468,28 @@
     steps=strategies.integers(1, 150),
 )
 def test_random_events(seed: int, size: int, steps: int) -> None:
-    # Short blocks, so that few workers fill several of them.
+    # Short blocks, so that a few workers fill several of them.
     with mock.patch.object(_ranking, "BLOCK_LENGTH", 2):
         _run_events(random.Random(seed), size, steps)
 
 
 def _run_events(rng: random.Random, size: int, steps: int) -> None:
-    world = _World(cell=placement.make_cell(_POOL), rng=rng)
+    simulation = _Simulation(cell=placement.make_cell(_POOL), rng=rng)
     for _ in range(size):
-        _grow(world)
+        _add_live_worker(simulation)
     events = [event for event, _weight in _EVENTS]
     weights = [weight for _event, weight in _EVENTS]
     for _ in range(steps):
-        rng.choices(events, weights)[0](world)
-        checks.check_sums(world.cell)
-        checks.check_index(world.cell)
-        checks.check_health(world.cell)
-        for worker in world.cell.workers.values():
-            if worker.worker_id not in world.tainted:
+        rng.choices(events, weights)[0](simulation)
+        checks.check_sums(simulation.cell)
+        checks.check_index(simulation.cell)
+        checks.check_health(simulation.cell)
+        for worker in simulation.cell.workers.values():
+            if worker.worker_id not in simulation.may_exceed_capacity:
                 assert checks.is_within_capacity(worker)
 
 
-# Guards against an empty pool after a day on which everything fails.
+# Guards against ejecting most of a pool when tasks fail everywhere.
 @hypothesis.settings(derandomize=True, max_examples=60, deadline=None)
 @hypothesis.given(
     seed=strategies.integers(0, 1_000_000),
@@ -478,22 +498,22 @@
 )
 def test_ejected_share(seed: int, workers: int, failing: float) -> None:
     rng = random.Random(seed)
-    world = _World(cell=placement.make_cell(_POOL), rng=rng)
+    simulation = _Simulation(cell=placement.make_cell(_POOL), rng=rng)
     for number in range(workers):
         placement.upsert_worker(
-            world.cell,
+            simulation.cell,
             builders.instance(f"w{number}", _CAPACITIES[0]),
             0.0,
         )
     for step in range(150):
         if rng.random() < 0.1:
-            rng.choice((_upsert, _remove, _advance, _place))(world)
+            rng.choice((_upsert, _remove, _advance_time, _place))(simulation)
         placement.record_outcome(
-            world.cell,
-            worker_id=_draw_worker(world),
+            simulation.cell,
+            worker_id=_draw_worker(simulation),
             task=(f"j{rng.randrange(1 + step)}", rng.randrange(3)),
             succeeded=rng.random() > failing,
-            now=world.now,
+            now=simulation.now,
         )
-        checks.check_health(world.cell)
-        checks.check_index(world.cell)
+        checks.check_health(simulation.cell)
+        checks.check_index(simulation.cell)
--- a/chestnuttide/placement/tests/test_ranking.py
+++ b/chestnuttide/placement/tests/test_ranking.py
@@ -10,8 +10,8 @@
 def _check_blocks(ranking: _ranking.Ranking, expected: list) -> None:
     assert [entry for block in ranking.blocks for entry in block] == expected
     assert all(ranking.blocks)
-    assert ranking.lasts == [block[-1] for block in ranking.blocks]
-    assert ranking.tops == [
+    assert ranking.last_entries == [block[-1] for block in ranking.blocks]
+    assert ranking.max_secondaries == [
         max(entry[1] for entry in block) for block in ranking.blocks
     ]
     assert all(
@@ -19,8 +19,8 @@
     )
 
 
-# Guards against blocks whose summaries no longer describe their entries:
-# lookups would skip workers that fit.
+# Guards against block summaries that do not match the entries, so that lookups
+# skip workers that fit.
 @hypothesis.settings(derandomize=True, max_examples=40, deadline=None)
 @hypothesis.given(
     seed=strategies.integers(0, 1_000_000),
--- a/chestnuttide/placement/tests/test_reclaim.py
+++ b/chestnuttide/placement/tests/test_reclaim.py
@@ -12,7 +12,7 @@
 def _cell(
     samples: int = _reclaim.MIN_SAMPLES, **options: object
 ) -> tuple[placement.Cell, model.Attempt]:
-    """Return a cell with one fully reserved worker that uses a fifth."""
+    """Return a cell whose worker is fully reserved and one fifth used."""
     cell = builders.cell_of({"w": ("a/1", _SIZE)})
     owner = builders.reserve(cell, "w", "owner", _SIZE, **options)
     _use(cell, owner, _A(2_000, 2_000), samples)
@@ -49,9 +49,9 @@
 @pytest.mark.parametrize(
     ("samples", "usage", "cpu"),
     [
-        pytest.param(4, None, 0, id="lent_after_too_few_samples"),
+        pytest.param(4, None, 0, id="reclaimed_after_too_few_samples"),
         pytest.param(5, None, 6_499, id="margin_is_missing"),
-        pytest.param(5, _A(9_000, 9_000), 0, id="rise_is_ignored"),
+        pytest.param(5, _A(9_000, 9_000), 0, id="rising_usage_is_ignored"),
         pytest.param(5, _A(0, 0), 6_749, id="peak_is_forgotten"),
     ],
 )
@@ -69,9 +69,16 @@
 @pytest.mark.parametrize(
     ("owner_throttles", "checkpoint", "throttle", "memory", "expected"),
     [
-        pytest.param(False, True, True, 500, "w", id="safe_work_is_refused"),
         pytest.param(
-            False, False, False, 500, None, id="work_that_cannot_yield_is_lent"
+            False, True, True, 500, "w", id="interruptible_work_is_refused"
+        ),
+        pytest.param(
+            False,
+            False,
+            False,
+            500,
+            None,
+            id="uninterruptible_work_is_accepted",
         ),
         pytest.param(
             False,
@@ -79,18 +86,30 @@
             False,
             500,
             None,
-            id="strict_work_exceeds_capacity",
+            id="unthrottleable_work_exceeds_capacity",
         ),
         pytest.param(
-            True, True, False, 500, "w", id="strict_work_within_is_refused"
+            True,
+            True,
+            False,
+            500,
+            "w",
+            id="fitting_unthrottleable_work_is_refused",
+        ),
+        pytest.param(
+            False,
+            False,
+            True,
+            500,
+            None,
+            id="uncheckpointable_memory_exceeds_capacity",
         ),
         pytest.param(
-            False, False, True, 500, None, id="pinned_memory_exceeds_capacity"
+            False, False, True, 0, "w", id="processors_are_not_reclaimed"
         ),
         pytest.param(
-            False, False, True, 0, "w", id="lent_processors_are_refused"
+            False, True, True, 7_000, None, id="too_much_is_reclaimed"
         ),
-        pytest.param(False, True, True, 7_000, None, id="too_much_is_lent"),
     ],
 )
 def test_choose_reclaimed(
@@ -116,18 +135,18 @@
 @pytest.mark.parametrize(
     ("usage", "throttled", "expected"),
     [
-        pytest.param(_A(4_000, 9_000), False, [], id="yields_needlessly"),
+        pytest.param(_A(4_000, 9_000), False, [], id="acts_without_need"),
         pytest.param(
             _A(9_000, 2_000),
             False,
             [("second", "throttle")],
-            id="both_yield_for_one",
+            id="both_throttled_where_one_suffices",
         ),
         pytest.param(
             _A(10_000, 2_000),
             False,
             [("second", "throttle"), ("first", "throttle")],
-            id="one_yields_for_both",
+            id="one_throttled_where_both_are_needed",
         ),
         pytest.param(
             _A(2_000, 9_500),
@@ -139,7 +158,7 @@
             _A(9_000, 2_000),
             True,
             [("second", "evict")],
-            id="throttling_in_vain_is_repeated",
+            id="ineffective_throttling_is_repeated",
         ),
     ],
 )
@@ -167,7 +186,7 @@
     _use(cell, owner, usage)
     if throttled:
         placement.mark_throttled(cell, lent["second"], throttled=True)
-        # Usage reported just after throttling tells nothing yet.
+        # Usage reported before the throttling is ignored.
         assert placement.overcommitted(cell) == []
         _use(
             cell,
