--- a/chestnuttide/placement/_cells.py
+++ b/chestnuttide/placement/_cells.py
@@ -163,7 +163,7 @@
     worker = _require_worker(cell, worker_id)
     if worker.position is None:
         raise _errors.WorkerUnavailableError(
-            message=f"Worker {worker_id} accepts no new work.",
+            message=f"Worker {worker_id} takes no new work.",
             remedy="Choose another worker.",
         )
     if attempt in cell.reservations:
@@ -181,7 +181,9 @@
         or need.accelerators > worker.free_accelerators
     ):
         raise _errors.CapacityError(
-            message=f"Worker {worker_id} has no free capacity for {need}.",
+            message=(
+                f"Worker {worker_id} has too little free capacity for {need}."
+            ),
             remedy="Choose another worker.",
         )
     _add_reservation(
@@ -225,13 +227,13 @@
     Adopting an attempt again on the same worker replaces its reservation; on
     another worker it raises `AttemptConflictError`.
     """
-    known = cell.reservations.get(attempt)
-    if known is not None:
-        if known.worker_id != worker_id:
+    existing = cell.reservations.get(attempt)
+    if existing is not None:
+        if existing.worker_id != worker_id:
             raise _errors.AttemptConflictError(
                 message=(
-                    f"{attempt} is reserved on {known.worker_id} and reported"
-                    f" by {worker_id}."
+                    f"{attempt} is reserved on {existing.worker_id} and"
+                    f" reported by {worker_id}."
                 ),
                 remedy="Stop it on the worker that reported it last.",
             )
@@ -294,7 +296,7 @@
     if worker is None:
         raise _errors.WorkerUnavailableError(
             message=f"Worker {worker_id} is unknown.",
-            remedy="Choose a known worker of the cell.",
+            remedy="Choose a worker of the cell.",
         )
     return worker
 
--- a/chestnuttide/placement/_health.py
+++ b/chestnuttide/placement/_health.py
@@ -198,7 +198,7 @@
     worker_id: str,
     failed_on: collections.abc.Iterable[str],
 ) -> bool:
-    """Return whether it failed on another worker that is not ejected."""
+    """Return whether `failed_on` names another worker that is not ejected."""
     return any(
         other != worker_id and other not in cell.ejected for other in failed_on
     )
--- a/chestnuttide/placement/_index.py
+++ b/chestnuttide/placement/_index.py
@@ -69,10 +69,12 @@
     if no other worker fits, preferably one with few free accelerators.
     """
     if need.accelerators == 0:
-        found = _best_of(index.plain, need=need, excluded=excluded)
+        found = _best_fit_among(
+            index.unaccelerated, need=need, excluded=excluded
+        )
         if found is not None:
             return found
-    return _best_of(index.accelerated, need=need, excluded=excluded)
+    return _best_fit_among(index.accelerated, need=need, excluded=excluded)
 
 
 def fitting(
@@ -80,10 +82,10 @@
 ) -> collections.abc.Iterator[str]:
     """Yield the workers on which the need fits, in order of preference."""
     if need.accelerators == 0:
-        for key in sorted(index.plain):
-            yield from _fitting_of(index.plain[key], need)
+        for key in sorted(index.unaccelerated):
+            yield from _fitting_in_shape(index.unaccelerated[key], need)
     for key in sorted(index.accelerated):
-        yield from _fitting_of(index.accelerated[key], need)
+        yield from _fitting_in_shape(index.accelerated[key], need)
 
 
 def shape_key(capacity: model.Resources) -> _state.ShapeKey:
@@ -102,7 +104,7 @@
     )
 
 
-def _best_of(
+def _best_fit_among(
     shapes: dict[_state.ShapeKey, _state.Shape],
     *,
     need: model.Resources,
@@ -113,11 +115,11 @@
     memory = need.memory_mb
     for shape in shapes.values():
         by_cpu = _cpu_binds(shape, need)
-        for free in shape.order:
-            left = free - need.accelerators
-            if left < 0:
+        for free in shape.group_keys:
+            left_over = free - need.accelerators
+            if left_over < 0:
                 continue
-            if best is not None and left > best[0]:
+            if best is not None and left_over > best[0]:
                 break
             group = shape.groups[free]
             if by_cpu:
@@ -146,18 +148,18 @@
                     * shape.members
                     / (shape.memory_mb or 1)
                 )
-            rank = (left, share, entry[2])
+            rank = (left_over, share, entry[2])
             if best is None or rank < best:
                 best = rank
             break
     return None if best is None else best[2]
 
 
-def _fitting_of(
+def _fitting_in_shape(
     shape: _state.Shape, need: model.Resources
 ) -> collections.abc.Iterator[str]:
     by_cpu = _cpu_binds(shape, need)
-    for free in shape.order:
+    for free in shape.group_keys:
         if free < need.accelerators:
             continue
         group = shape.groups[free]
@@ -196,7 +198,7 @@
     worker_id = worker.worker_id
     index = position.index
     accelerated = position.capacity.accelerators > 0
-    shapes = index.accelerated if accelerated else index.plain
+    shapes = index.accelerated if accelerated else index.unaccelerated
     group = shapes[position.shape].groups[accelerators]
     old = (old_cpu, old_memory, worker_id)
     new = (cpu, memory, worker_id)
@@ -231,7 +233,7 @@
         accelerators=accelerators,
     )
     accelerated = capacity.accelerators > 0
-    shapes = index.accelerated if accelerated else index.plain
+    shapes = index.accelerated if accelerated else index.unaccelerated
     shape = shapes.get(key)
     if shape is None:
         shape = shapes[key] = _state.Shape()
@@ -241,7 +243,7 @@
     group = shape.groups.get(accelerators)
     if group is None:
         group = shape.groups[accelerators] = _state.Group()
-        bisect.insort(shape.order, accelerators)
+        bisect.insort(shape.group_keys, accelerators)
     _ranking.insert(group.by_cpu, (cpu, memory, worker_id))
     _ranking.insert(group.by_memory, (memory, cpu, worker_id))
     centre = index.centres.get(worker.data_centre)
@@ -262,14 +264,14 @@
     memory = position.memory_mb
     accelerators = position.accelerators
     accelerated = position.capacity.accelerators > 0
-    shapes = index.accelerated if accelerated else index.plain
+    shapes = index.accelerated if accelerated else index.unaccelerated
     shape = shapes[position.shape]
     group = shape.groups[accelerators]
     _ranking.remove(group.by_cpu, (cpu, memory, worker_id))
     _ranking.remove(group.by_memory, (memory, cpu, worker_id))
     if not group.by_cpu.blocks:
         del shape.groups[accelerators]
-        shape.order.remove(accelerators)
+        shape.group_keys.remove(accelerators)
     shape.members -= 1
     shape.cpu_millis -= position.capacity.cpu_millis
     shape.memory_mb -= position.capacity.memory_mb
--- a/chestnuttide/placement/_state.py
+++ b/chestnuttide/placement/_state.py
@@ -120,7 +120,7 @@
         normalised.
     groups : dict of int to Group
         Groups by free accelerators; no group is empty.
-    order : list of int
+    group_keys : list of int
         Keys of `groups`, ascending.
     """
 
@@ -128,7 +128,7 @@
     cpu_millis: int = 0
     memory_mb: int = 0
     groups: dict[int, Group] = attrs.field(factory=dict)
-    order: list[int] = attrs.field(factory=list)
+    group_keys: list[int] = attrs.field(factory=list)
 
 
 # Number of accelerators, and the bit lengths of the processor and memory
@@ -162,7 +162,7 @@
 
     Attributes
     ----------
-    plain : dict of ShapeKey to Shape
+    unaccelerated : dict of ShapeKey to Shape
         Workers without accelerators.
     accelerated : dict of ShapeKey to Shape
         Workers with accelerators.
@@ -170,7 +170,7 @@
         The same workers by data centre.
     """
 
-    plain: dict[ShapeKey, Shape] = attrs.field(factory=dict)
+    unaccelerated: dict[ShapeKey, Shape] = attrs.field(factory=dict)
     accelerated: dict[ShapeKey, Shape] = attrs.field(factory=dict)
     centres: dict[str, DataCentreIndex] = attrs.field(factory=dict)
 
--- a/chestnuttide/placement/tests/_checks.py
+++ b/chestnuttide/placement/tests/_checks.py
@@ -145,11 +145,11 @@
     """Count index entries by worker, accelerator flag and free amounts."""
     found: collections.Counter = collections.Counter()
     for accelerated, shapes in (
-        (False, index.plain),
+        (False, index.unaccelerated),
         (True, index.accelerated),
     ):
         for shape in shapes.values():
-            assert shape.order == sorted(shape.groups)
+            assert shape.group_keys == sorted(shape.groups)
             for free, group in shape.groups.items():
                 by_cpu = [
                     entry for block in group.by_cpu.blocks for entry in block
@@ -199,7 +199,7 @@
                         ] += 1
             assert centre.free_cpu == by_centre[name]
         assert in_centres == expected
-        for shapes in (index.plain, index.accelerated):
+        for shapes in (index.unaccelerated, index.accelerated):
             for key, shape in shapes.items():
                 members = [
                     worker
--- a/chestnuttide/placement/tests/test_cells.py
+++ b/chestnuttide/placement/tests/test_cells.py
@@ -70,15 +70,15 @@
 )
 def test_unavailable_worker(state: model.InstanceState, listed: bool) -> None:
     cell = builders.cell_of({"w": ("a/1", _SIZE)})
-    held = builders.reserve(cell, "w", "old", builders.amounts(1_000))
+    attempt = builders.reserve(cell, "w", "old", builders.amounts(1_000))
     if listed:
         placement.upsert_worker(
             cell, builders.instance("w", _SIZE, state=state), 1.0
         )
-        assert placement.attempts_on(cell, "w") == [held]
+        assert placement.attempts_on(cell, "w") == [attempt]
         assert placement.worker_ids(cell) == ["w"]
     else:
-        assert placement.remove_worker(cell, "w") == [held]
+        assert placement.remove_worker(cell, "w") == [attempt]
         assert placement.reserved_total(cell) == model.ZERO
         assert placement.worker_ids(cell) == []
     assert placement.worker_count(cell) == 0
--- a/chestnuttide/placement/tests/test_health.py
+++ b/chestnuttide/placement/tests/test_health.py
@@ -38,24 +38,30 @@
     ]
 
 
-_THREE = [("w0", "x", 0, False), ("w0", "y", 0, False), ("w0", "z", 0, False)]
+_THREE_FAILURES = [
+    ("w0", "x", 0, False),
+    ("w0", "y", 0, False),
+    ("w0", "z", 0, False),
+]
 
 
 @pytest.mark.parametrize(
     ("outcomes", "expected"),
     [
-        pytest.param(_THREE, ["w0"], id="failing_worker_is_not_ejected"),
-        pytest.param(_THREE[:2], [], id="ejected_too_soon"),
+        pytest.param(
+            _THREE_FAILURES, ["w0"], id="failing_worker_is_not_ejected"
+        ),
+        pytest.param(_THREE_FAILURES[:2], [], id="ejected_too_soon"),
         pytest.param(
             [("w0", "x", 0, False)] * 5, [], id="one_failing_task_ejects"
         ),
         pytest.param(
-            [*_THREE[:2], ("w0", "k", 0, True), _THREE[2]],
+            [*_THREE_FAILURES[:2], ("w0", "k", 0, True), _THREE_FAILURES[2]],
             [],
             id="success_does_not_reset_failures",
         ),
         pytest.param(
-            [("w1", "x", 0, False), ("w2", "y", 0, False), *_THREE],
+            [("w1", "x", 0, False), ("w2", "y", 0, False), *_THREE_FAILURES],
             [],
             id="jobs_failing_elsewhere_eject",
         ),
@@ -119,7 +125,7 @@
 )
 def test_probe(probe_succeeds: bool, after: bool) -> None:
     cell = _cell()
-    _record(cell, _THREE, now=1.0)
+    _record(cell, _THREE_FAILURES, now=1.0)
     others = set(placement.worker_ids(cell)) - {"w0"}
     need = builders.amounts(1_000)
 
--- a/chestnuttide/placement/tests/test_preemption.py
+++ b/chestnuttide/placement/tests/test_preemption.py
@@ -87,15 +87,23 @@
     rows: list[_Row], cpu: int, expected: tuple[str, list[str]] | None
 ) -> None:
     cell = builders.cell_of({"v": ("a/1", _SIZE), "w": ("a/1", _SIZE)})
-    for worker_id, job, held, priority, may_go, saved, started in rows:
+    for (
+        worker_id,
+        job,
+        cpu_millis,
+        priority,
+        preemptible,
+        checkpoint,
+        started,
+    ) in rows:
         builders.reserve(
             cell,
             worker_id,
             job,
-            _A(held),
+            _A(cpu_millis),
             priority=priority,
-            preemptible=may_go,
-            checkpoint=saved,
+            preemptible=preemptible,
+            checkpoint=checkpoint,
             started=started,
         )
     for worker_id in "vw":
@@ -121,12 +129,12 @@
 )
 def test_victims_are_spared(obstacle: str) -> None:
     cell = builders.cell_of({"w": ("a/1", _SIZE)})
-    held = builders.reserve(
+    running = builders.reserve(
         cell, "w", "j", _SIZE, preemptible=True, expected_end=5.0
     )
     options: dict[str, object] = {"excluded": frozenset()}
     if obstacle == "protected":
-        options["protected"] = {held}
+        options["protected"] = {running}
     elif obstacle == "excluded":
         options["excluded"] = {"w"}
     elif obstacle == "leaving":
--- a/chestnuttide/placement/tests/test_properties.py
+++ b/chestnuttide/placement/tests/test_properties.py
@@ -130,7 +130,7 @@
     """Compare a spread choice with the minimum over all fitting workers."""
     workers = simulation.cell.workers
 
-    def in_centre(worker_id: str) -> int:
+    def tasks_in_centre(worker_id: str) -> int:
         return counts.data_centres.get(workers[worker_id].data_centre, 0)
 
     def rank(worker_id: str) -> tuple[bool, int, int]:
@@ -141,7 +141,7 @@
             counts.workers.get(worker_id, 0),
         )
 
-    assert in_centre(chosen) == min(map(in_centre, fitting))
+    assert tasks_in_centre(chosen) == min(map(tasks_in_centre, fitting))
     centre = workers[chosen].data_centre
     assert rank(chosen) == min(
         rank(worker_id)
@@ -199,7 +199,7 @@
     simulation.started += 1
 
 
-def _reserve_blindly(simulation: _Simulation) -> None:
+def _reserve_at_random(simulation: _Simulation) -> None:
     """Reserve on a random worker; the cell must refuse what does not fit."""
     cell = simulation.cell
     worker_id = _draw_worker(simulation)
@@ -229,9 +229,9 @@
 
 
 def _release(simulation: _Simulation) -> None:
-    held = list(simulation.cell.reservations)
-    if held:
-        attempt = simulation.rng.choice(held)
+    attempts = list(simulation.cell.reservations)
+    if attempts:
+        attempt = simulation.rng.choice(attempts)
         placement.release(simulation.cell, attempt)
         if simulation.rng.random() < 0.7:
             _record(simulation, attempt)
@@ -248,8 +248,8 @@
 
 
 def _report_usage(simulation: _Simulation) -> None:
-    held = list(simulation.cell.reservations.values())
-    for item in simulation.rng.sample(held, min(len(held), 6)):
+    reservations = list(simulation.cell.reservations.values())
+    for item in simulation.rng.sample(reservations, min(len(reservations), 6)):
         share = simulation.rng.choice((0.05, 0.2, 0.5, 1.3))
         for _ in range(simulation.rng.choice((1, 6))):
             placement.record_usage(
@@ -284,7 +284,7 @@
         simulation.started += 1
 
 
-def _may_yield(item: placement.Reservation) -> bool:
+def _may_be_evicted(item: placement.Reservation) -> bool:
     return item.reclaimed or item.checkpoint or item.preemptible
 
 
@@ -297,7 +297,7 @@
             assert reservation.worker_id == relief.worker_id
             assert relief.worker_id in cell.overcommitted
             if relief.action is placement.ReliefAction.EVICT:
-                assert _may_yield(reservation)
+                assert _may_be_evicted(reservation)
                 placement.release(cell, relief.attempt)
                 continue
             assert reservation.throttle
@@ -313,7 +313,7 @@
         over_memory = worker.used_memory > worker.capacity.memory_mb
         for item in worker.reservations.values():
             if item.reclaimed or (
-                _may_yield(item)
+                _may_be_evicted(item)
                 and (
                     item.used_cpu > item.need.cpu_millis
                     or item.used_memory > item.need.memory_mb
@@ -383,7 +383,7 @@
         placement.hold(cell, plan=plan, key="gang", now=simulation.now)
 
 
-def _release_hold(simulation: _Simulation) -> None:
+def _release_gang_reservation(simulation: _Simulation) -> None:
     placement.release_hold(simulation.cell)
     assert not any(
         worker.reserved_for_gang for worker in simulation.cell.workers.values()
@@ -447,7 +447,7 @@
     (_upsert, 1),
     (_remove, 1),
     (_place, 16),
-    (_reserve_blindly, 3),
+    (_reserve_at_random, 3),
     (_adopt, 1),
     (_release, 4),
     (_report_usage, 4),
@@ -455,7 +455,7 @@
     (_relieve_overcommitted, 2),
     (_place_gang, 2),
     (_plan_gang, 3),
-    (_release_hold, 1),
+    (_release_gang_reservation, 1),
     (_preempt, 5),
     (_advance_time, 2),
 )
--- a/chestnuttide/placement/tests/test_ranking.py
+++ b/chestnuttide/placement/tests/test_ranking.py
@@ -32,38 +32,50 @@
 ) -> None:
     rng = random.Random(seed)
     ranking = _ranking.Ranking()
-    plain: list[_ranking.Entry] = []
+    entries: list[_ranking.Entry] = []
 
     def draw(number: int) -> _ranking.Entry:
         return rng.randrange(spread), rng.randrange(spread), f"w{number}"
 
     for number in range(steps):
         action = rng.random()
-        if not plain or action < 0.5:
+        if not entries or action < 0.5:
             entry = draw(number)
-            plain.append(entry)
+            entries.append(entry)
             _ranking.insert(ranking, entry)
         elif action < 0.8:
-            old = plain.pop(rng.randrange(len(plain)))
+            old = entries.pop(rng.randrange(len(entries)))
             entry = draw(number)
-            plain.append(entry)
+            entries.append(entry)
             _ranking.replace(ranking, old, entry)
         else:
-            _ranking.remove(ranking, plain.pop(rng.randrange(len(plain))))
-        plain.sort()
-        low, least = rng.randrange(spread + 1), rng.randrange(spread + 1)
-        excluded = {item[2] for item in plain if rng.random() < 0.2}
+            _ranking.remove(ranking, entries.pop(rng.randrange(len(entries))))
+        entries.sort()
+        min_primary, min_secondary = (
+            rng.randrange(spread + 1),
+            rng.randrange(spread + 1),
+        )
+        excluded = {item[2] for item in entries if rng.random() < 0.2}
         fits = [
-            entry for entry in plain if entry[0] >= low and entry[1] >= least
+            entry
+            for entry in entries
+            if entry[0] >= min_primary and entry[1] >= min_secondary
         ]
         assert _ranking.first_fit(
-            ranking, primary=low, secondary=least, excluded=excluded
+            ranking,
+            primary=min_primary,
+            secondary=min_secondary,
+            excluded=excluded,
         ) == next((item for item in fits if item[2] not in excluded), None)
-        found = _ranking.ascending(ranking, primary=low, secondary=least)
+        found = _ranking.ascending(
+            ranking, primary=min_primary, secondary=min_secondary
+        )
         assert list(found) == fits
-        found = _ranking.descending(ranking, primary=low, secondary=least)
+        found = _ranking.descending(
+            ranking, primary=min_primary, secondary=min_secondary
+        )
         assert list(found) == fits[::-1]
-    _check_blocks(ranking, plain)
+    _check_blocks(ranking, entries)
 
 
 @pytest.mark.parametrize(
--- a/chestnuttide/placement/tests/test_reclaim.py
+++ b/chestnuttide/placement/tests/test_reclaim.py
@@ -15,11 +15,11 @@
     """Return a cell whose worker is fully reserved and one fifth used."""
     cell = builders.cell_of({"w": ("a/1", _SIZE)})
     owner = builders.reserve(cell, "w", "owner", _SIZE, **options)
-    _use(cell, owner, _A(2_000, 2_000), samples)
+    _report_usage(cell, owner, _A(2_000, 2_000), samples)
     return cell, owner
 
 
-def _use(
+def _report_usage(
     cell: placement.Cell,
     attempt: model.Attempt,
     usage: model.Resources,
@@ -60,9 +60,9 @@
 ) -> None:
     cell, owner = _cell(samples)
     if usage is not None:
-        _use(cell, owner, usage)
-    lent = placement.reclaimable(cell, "w")
-    assert lent == _A(cpu, cpu)
+        _report_usage(cell, owner, usage)
+    reclaimable = placement.reclaimable(cell, "w")
+    assert reclaimable == _A(cpu, cpu)
     assert placement.free_of(cell, "w") == model.ZERO
 
 
@@ -168,7 +168,7 @@
     expected: list[tuple[str, str]],
 ) -> None:
     cell, owner = _cell()
-    lent = {
+    reclaimed = {
         name: builders.reserve(
             cell,
             "w",
@@ -181,16 +181,16 @@
         )
         for name, started in (("first", 1.0), ("second", 2.0))
     }
-    for attempt in lent.values():
-        _use(cell, attempt, _A(1_000, 500))
-    _use(cell, owner, usage)
+    for attempt in reclaimed.values():
+        _report_usage(cell, attempt, _A(1_000, 500))
+    _report_usage(cell, owner, usage)
     if throttled:
-        placement.mark_throttled(cell, lent["second"], throttled=True)
+        placement.mark_throttled(cell, reclaimed["second"], throttled=True)
         # Usage reported before the throttling is ignored.
         assert placement.overcommitted(cell) == []
-        _use(
+        _report_usage(
             cell,
-            lent["second"],
+            reclaimed["second"],
             _A(1_000, 500),
             _reclaim.THROTTLE_SAMPLES,
         )
--- a/chestnuttide/queueing/_fair_queue.py
+++ b/chestnuttide/queueing/_fair_queue.py
@@ -482,7 +482,7 @@
 ) -> None:
     """Append the first item of some bands.
 
-    Equivalent to `_append_in_service_order` with a limit of 1, but faster.
+    Equivalent to `_append_in_service_order` with a limit of 1.
     """
     first = min((band.order[0] for band in bands if band.order), default=None)
     if first is None:
--- a/chestnuttide/queueing/_quota.py
+++ b/chestnuttide/queueing/_quota.py
@@ -1,4 +1,4 @@
-"""Resource usage of teams and its quotas."""
+"""Resource usage of teams, checked against their quotas."""
 
 import attrs
 
--- a/chestnuttide/queueing/tests/test_fair_queue.py
+++ b/chestnuttide/queueing/tests/test_fair_queue.py
@@ -185,17 +185,17 @@
             waiting[key] = item
             queueing.push(queue, item)
         elif step == "pop":
-            taken = queueing.pop(queue)
-            free = {
+            popped = queueing.pop(queue)
+            unblocked = {
                 name for name, i in waiting.items() if i.team not in blocked
             }
-            assert (taken is None) == (not free)
-            if taken is not None:
-                assert taken.key in free
-                assert taken.urgent or not any(
-                    waiting[name].urgent for name in free
+            assert (popped is None) == (not unblocked)
+            if popped is not None:
+                assert popped.key in unblocked
+                assert popped.urgent or not any(
+                    waiting[name].urgent for name in unblocked
                 )
-                del waiting[taken.key]
+                del waiting[popped.key]
         elif step == "cancel":
             assert queueing.cancel(queue, key) == waiting.pop(key, None)
         elif step == "block":
@@ -209,9 +209,9 @@
             assert {i.key for i in queueing.expire(queue, now)} == due
             for name in due:
                 del waiting[name]
-        free_items = {
+        unblocked_keys = {
             name for name, i in waiting.items() if i.team not in blocked
         }
         window = [item.key for item in queueing.candidates(queue, 1000)]
-        assert sorted(window) == sorted(free_items)
+        assert sorted(window) == sorted(unblocked_keys)
         assert sum(queue.lane_counts.values()) == len(waiting)
--- a/chestnuttide/queueing/tests/test_limits.py
+++ b/chestnuttide/queueing/tests/test_limits.py
@@ -30,15 +30,15 @@
     limits: dict[str, int], amount: tuple[int, int, int], allowed: bool
 ) -> None:
     quota = queueing.QuotaState()
-    held = model.Resources(cpu_millis=5, memory_mb=5, accelerators=5)
+    used = model.Resources(cpu_millis=5, memory_mb=5, accelerators=5)
     need = model.Resources(
         cpu_millis=amount[0], memory_mb=amount[1], accelerators=amount[2]
     )
     team = config.TeamConfig(**limits)
-    queueing.acquire(quota, "a", held)
+    queueing.acquire(quota, "a", used)
     assert queueing.allows(quota, "a", team, need) == allowed
     assert queueing.could_ever_allow(team, need)
-    queueing.release(quota, "a", held)
+    queueing.release(quota, "a", used)
     assert not quota.held
     assert queueing.allows(quota, "a", team, need)
 
