--- a/chestnuttide/placement/tests/test_ranking.py
+++ b/chestnuttide/placement/tests/test_ranking.py
@@ -10,8 +10,8 @@
 def _check_blocks(ranking: _ranking.Ranking, expected: list) -> None:
     assert [entry for block in ranking.blocks for entry in block] == expected
     assert all(ranking.blocks)
-    assert ranking.lasts == [block[-1] for block in ranking.blocks]
-    assert ranking.tops == [
+    assert ranking.last_entries == [block[-1] for block in ranking.blocks]
+    assert ranking.max_secondaries == [
         max(entry[1] for entry in block) for block in ranking.blocks
     ]
     assert all(
@@ -19,8 +19,8 @@
     )
 
 
-# Guards against blocks whose summaries no longer describe their entries:
-# lookups would skip workers that fit.
+# Guards against block summaries that do not match the entries, so that lookups
+# skip workers that fit.
 @hypothesis.settings(derandomize=True, max_examples=40, deadline=None)
 @hypothesis.given(
     seed=strategies.integers(0, 1_000_000),
@@ -32,38 +32,50 @@
 ) -> None:
     rng = random.Random(seed)
     ranking = _ranking.Ranking()
-    plain: list[_ranking.Entry] = []
+    entries: list[_ranking.Entry] = []
 
     def draw(number: int) -> _ranking.Entry:
         return rng.randrange(spread), rng.randrange(spread), f"w{number}"
 
     for number in range(steps):
         action = rng.random()
-        if not plain or action < 0.5:
+        if not entries or action < 0.5:
             entry = draw(number)
-            plain.append(entry)
+            entries.append(entry)
             _ranking.insert(ranking, entry)
         elif action < 0.8:
-            old = plain.pop(rng.randrange(len(plain)))
+            old = entries.pop(rng.randrange(len(entries)))
             entry = draw(number)
-            plain.append(entry)
+            entries.append(entry)
             _ranking.replace(ranking, old, entry)
         else:
-            _ranking.remove(ranking, plain.pop(rng.randrange(len(plain))))
-        plain.sort()
-        low, least = rng.randrange(spread + 1), rng.randrange(spread + 1)
-        excluded = {item[2] for item in plain if rng.random() < 0.2}
+            _ranking.remove(ranking, entries.pop(rng.randrange(len(entries))))
+        entries.sort()
+        min_primary, min_secondary = (
+            rng.randrange(spread + 1),
+            rng.randrange(spread + 1),
+        )
+        excluded = {item[2] for item in entries if rng.random() < 0.2}
         fits = [
-            entry for entry in plain if entry[0] >= low and entry[1] >= least
+            entry
+            for entry in entries
+            if entry[0] >= min_primary and entry[1] >= min_secondary
         ]
         assert _ranking.first_fit(
-            ranking, primary=low, secondary=least, excluded=excluded
+            ranking,
+            primary=min_primary,
+            secondary=min_secondary,
+            excluded=excluded,
         ) == next((item for item in fits if item[2] not in excluded), None)
-        found = _ranking.ascending(ranking, primary=low, secondary=least)
+        found = _ranking.ascending(
+            ranking, primary=min_primary, secondary=min_secondary
+        )
         assert list(found) == fits
-        found = _ranking.descending(ranking, primary=low, secondary=least)
+        found = _ranking.descending(
+            ranking, primary=min_primary, secondary=min_secondary
+        )
         assert list(found) == fits[::-1]
-    _check_blocks(ranking, plain)
+    _check_blocks(ranking, entries)
 
 
 @pytest.mark.parametrize(
