--- a/chestnuttide/jobs/_acceptance.py
+++ b/chestnuttide/jobs/_acceptance.py
@@ -50,16 +50,16 @@
 ) -> None:
     """Answer a submission whose event is durable, and queue its tasks."""
     out.append(_messages.JobAccepted(token=token, job_id=job_id))
-    open_job(state, job_id)
+    queue_durable_job(state, job_id)
 
 
-def open_job(state: _state.PoolState, job_id: str) -> None:
+def queue_durable_job(state: _state.PoolState, job_id: str) -> None:
     """Queue the tasks of a job whose event is durable."""
     record = state.jobs.get(job_id)
     if record is None:
         return
     record.durable = True
-    watch_wait(state, record)
+    schedule_wait_limit(state, record)
     _backlog.enqueue(state, record)
 
 
@@ -91,7 +91,9 @@
         )
 
 
-def watch_wait(state: _state.PoolState, record: _state.JobRecord) -> None:
+def schedule_wait_limit(
+    state: _state.PoolState, record: _state.JobRecord
+) -> None:
     """Schedule the end of a job's wait, if it has a limit."""
     if record.job.wait_limit_s > 0:
         at = record.entered_at + record.job.wait_limit_s
--- a/chestnuttide/jobs/_attempts.py
+++ b/chestnuttide/jobs/_attempts.py
@@ -5,10 +5,10 @@
 from chestnuttide import errors
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _events
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _journal
 from chestnuttide.jobs import _messages
 from chestnuttide.jobs import _outcomes
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
 from chestnuttide import model
@@ -16,7 +16,7 @@
 from chestnuttide import queueing
 
 # Starts sent to one worker for one attempt before its lease is waited for.
-START_TRIES = 3
+MAX_START_SENDS = 3
 
 # Delays in seconds between these starts.
 START_RETRY_BASE_S = 0.2
@@ -28,10 +28,10 @@
 # Syncs in a row that a silent worker may have received, after which it is
 # sent none until its attempts have lapsed. Each of them renews the leases if
 # it does arrive, so going on would keep its tasks from starting elsewhere.
-SYNC_DOUBTS = 3
+MAX_UNCERTAIN_SYNCS = 3
 
 # Seconds until leases are checked again while an answer is awaited.
-LAPSE_RETRY_S = 0.5
+LEASE_CHECK_RETRY_S = 0.5
 
 _CONFIRMING = frozenset(
     {
@@ -51,7 +51,9 @@
     worker = state.workers.get(worker_id)
     if worker is None:
         return False
-    return worker.doubts < SYNC_DOUBTS or not worker.attempts
+    return (
+        worker.uncertain_failures < MAX_UNCERTAIN_SYNCS or not worker.attempts
+    )
 
 
 def on_start_result(
@@ -65,8 +67,8 @@
     if outcome is _messages.StartOutcome.STALE_EPOCH:
         depose(state, out)
         return
-    held = state.attempts.get(message.attempt)
-    if held is None or held.worker_id != message.worker_id:
+    attempt_record = state.attempts.get(message.attempt)
+    if attempt_record is None or attempt_record.worker_id != message.worker_id:
         if outcome is not _messages.StartOutcome.UNSENT:
             out.append(
                 _messages.StopTask(
@@ -76,35 +78,47 @@
                 )
             )
         return
-    held.in_flight = False
+    attempt_record.in_flight = False
     if outcome in _CONFIRMING or (
         outcome is _messages.StartOutcome.UNANSWERED
     ):
-        held.expires_at = max(
-            held.expires_at,
+        attempt_record.expires_at = max(
+            attempt_record.expires_at,
             message.sent_at
-            + _start_doubt_s(outcome)
-            + held.lease_s * _state.LEASE_MARGIN,
+            + _late_start_s(outcome)
+            + attempt_record.lease_s * _state.LEASE_MARGIN_RATIO,
         )
-        worker = state.workers.get(held.worker_id)
+        worker = state.workers.get(attempt_record.worker_id)
         if worker is not None:
-            watch_leases(state, worker)
+            schedule_lease_check(state, worker)
     if outcome in _CONFIRMING:
-        _confirm(held, now)
+        _confirm(attempt_record, now)
         return
-    _avoid(state, held, now)
+    _avoid_worker(state, attempt_record, now)
     if outcome is _messages.StartOutcome.UNANSWERED:
-        held.in_doubt = True
+        attempt_record.in_doubt = True
         _retry_start(
-            state, held, errors.RetryReason.START_UNANSWERED, now, out
+            state,
+            attempt_record,
+            errors.RetryReason.START_UNANSWERED,
+            now,
+            out,
         )
-    elif held.in_doubt and outcome is not _messages.StartOutcome.EXPIRED:
+    elif (
+        attempt_record.in_doubt
+        and outcome is not _messages.StartOutcome.EXPIRED
+    ):
         # An earlier start may still arrive, so this answer proves nothing.
-        _retry_start(state, held, errors.RetryReason.CONNECT_FAILED, now, out)
+        _retry_start(
+            state, attempt_record, errors.RetryReason.CONNECT_FAILED, now, out
+        )
     else:
-        if outcome is _messages.StartOutcome.NO_CAPACITY and held.reclaimed:
-            state.workers[held.worker_id].allows_overcommit = False
-        _not_started(state, held, now, out)
+        if (
+            outcome is _messages.StartOutcome.NO_CAPACITY
+            and attempt_record.reclaimed
+        ):
+            state.workers[attempt_record.worker_id].allows_overcommit = False
+        _release_unstarted(state, attempt_record, now, out)
 
 
 def on_start_timer(
@@ -114,14 +128,14 @@
     out: list[object],
 ) -> None:
     """Send a start that was not answered again, to the same worker."""
-    held = state.attempts.get(attempt)
+    attempt_record = state.attempts.get(attempt)
     if (
-        held is not None
-        and held.phase is _state.Phase.STARTING
-        and not held.in_flight
-        and may_send(state)
+        attempt_record is not None
+        and attempt_record.phase is _state.Phase.STARTING
+        and not attempt_record.in_flight
+        and may_send_starts(state)
     ):
-        _holding.send_start(state, held, out)
+        _reservations.send_start(state, attempt_record, out)
 
 
 def on_stop_timer(
@@ -131,12 +145,15 @@
     out: list[object],
 ) -> None:
     """Send a stop again whose end was not reported."""
-    held = state.attempts.get(attempt)
-    if held is not None and held.phase is _state.Phase.ENDING:
-        _holding.send_stop(state, held, now, out)
+    attempt_record = state.attempts.get(attempt)
+    if (
+        attempt_record is not None
+        and attempt_record.phase is _state.Phase.ENDING
+    ):
+        _reservations.send_stop(state, attempt_record, now, out)
 
 
-def may_send(state: _state.PoolState) -> bool:
+def may_send_starts(state: _state.PoolState) -> bool:
     """Return whether starts may be sent."""
     return state.ready and not state.stopping and not state.deposed
 
@@ -155,7 +172,9 @@
     worker = state.workers.get(message.worker_id)
     if worker is not None:
         worker.sync_lease_s = message.lease_s
-        worker.sync_expires_at = now + message.lease_s * _state.LEASE_MARGIN
+        worker.sync_expires_at = (
+            now + message.lease_s * _state.LEASE_MARGIN_RATIO
+        )
 
 
 def on_sync_failed(
@@ -167,11 +186,11 @@
         return
     worker.failures += 1
     if message.received:
-        worker.doubts += 1
-        _renew(state, worker, message.sent_at)
+        worker.uncertain_failures += 1
+        _extend_lease(state, worker, message.sent_at)
     worker.sync_expires_at = -math.inf
-    _state.update_shut(state, worker, now)
-    watch_leases(state, worker)
+    _state.update_availability(state, worker, now)
+    schedule_lease_check(state, worker)
 
 
 def on_sync_report(
@@ -184,22 +203,22 @@
     worker = state.workers.get(message.worker_id)
     if worker is None or message.sent_at < state.recovered_at:
         return
-    _renew(state, worker, message.sent_at)
+    _extend_lease(state, worker, message.sent_at)
     worker.sync_expires_at = -math.inf
     worker.failures = 0
-    worker.doubts = 0
+    worker.uncertain_failures = 0
     worker.reported = True
     matched = 0
     for report in message.reports:
         matched += _on_report(state, worker, report, now, out)
     if matched < len(worker.attempts):
-        _lose_unreported(state, worker, message, now, out)
+        _mark_unreported_lost(state, worker, message, now, out)
     state.unreported.discard(message.worker_id)
-    _state.update_shut(state, worker, now)
-    watch_leases(state, worker)
+    _state.update_availability(state, worker, now)
+    schedule_lease_check(state, worker)
 
 
-def _lose_unreported(
+def _mark_unreported_lost(
     state: _state.PoolState,
     worker: _state.WorkerRecord,
     message: _messages.SyncReport,
@@ -211,31 +230,36 @@
     for attempt in list(worker.attempts):
         if attempt in seen:
             continue
-        held = state.attempts[attempt]
+        attempt_record = state.attempts[attempt]
         # Either it was confirmed before this sync, so the worker has lost it,
         # for example in a restart. Or the lease of its last start had
         # expired before this sync, so it does not run if it ever did.
-        if held.confirmed_at < message.sent_at or (
-            not held.in_flight and held.expires_at <= message.sent_at
+        if attempt_record.confirmed_at < message.sent_at or (
+            not attempt_record.in_flight
+            and attempt_record.expires_at <= message.sent_at
         ):
-            _lose(state, held, now, out)
+            _mark_lost(state, attempt_record, now, out)
 
 
-def watch_leases(state: _state.PoolState, worker: _state.WorkerRecord) -> None:
+def schedule_lease_check(
+    state: _state.PoolState, worker: _state.WorkerRecord
+) -> None:
     """Schedule the check of a worker's leases, unless one is scheduled."""
-    if worker.lapse_timer or not worker.attempts:
+    if worker.lease_check_scheduled or not worker.attempts:
         return
-    at = min(
-        _holding.expires_at(state.attempts[attempt], worker)
+    check_at = min(
+        _reservations.expires_at(state.attempts[attempt], worker)
         for attempt in worker.attempts
     )
-    if at == math.inf:
-        at = max(worker.expires_at, state.recovered_at) + LAPSE_RETRY_S
-    worker.lapse_timer = True
-    _timers.schedule(state, at, "lapse", worker.instance.instance_id)
+    if check_at == math.inf:
+        check_at = (
+            max(worker.expires_at, state.recovered_at) + LEASE_CHECK_RETRY_S
+        )
+    worker.lease_check_scheduled = True
+    _timers.schedule(state, check_at, "lapse", worker.instance.instance_id)
 
 
-def on_lapse_timer(
+def on_lease_timer(
     state: _state.PoolState,
     worker_id: str,
     now: float,
@@ -245,21 +269,21 @@
     worker = state.workers.get(worker_id)
     if worker is None:
         return
-    worker.lapse_timer = False
+    worker.lease_check_scheduled = False
     earliest = math.inf
     for attempt in list(worker.attempts):
-        held = state.attempts.get(attempt)
-        if held is None:
+        attempt_record = state.attempts.get(attempt)
+        if attempt_record is None:
             continue
-        at = _holding.expires_at(held, worker)
-        if at <= now:
-            _lose(state, held, now, out)
+        check_at = _reservations.expires_at(attempt_record, worker)
+        if check_at <= now:
+            _mark_lost(state, attempt_record, now, out)
         else:
-            earliest = min(earliest, at)
+            earliest = min(earliest, check_at)
     if worker.attempts:
         if earliest == math.inf:
-            earliest = now + LAPSE_RETRY_S
-        worker.lapse_timer = True
+            earliest = now + LEASE_CHECK_RETRY_S
+        worker.lease_check_scheduled = True
         _timers.schedule(state, earliest, "lapse", worker_id)
     remove_if_gone(state, worker)
 
@@ -277,135 +301,146 @@
     ):
         placement.remove_worker(state.cell, worker_id)
         state.workers.pop(worker_id, None)
-        state.shut.discard(worker_id)
+        state.unavailable.discard(worker_id)
         state.leaving.pop(worker_id, None)
 
 
 def drop_claim(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     now: float,
 ) -> None:
     """Give up an attempt that waits for evictions; its task waits again."""
-    record = state.jobs[held.attempt.job_id]
-    _holding.release(state, held)
+    record = state.jobs[attempt_record.attempt.job_id]
+    _reservations.release(state, attempt_record)
     # The number was never sent to a worker, but it is not used again.
     if _state.is_open(record):
-        _backlog.wait_again(state, record, held.attempt.index)
+        _backlog.requeue_task(state, record, attempt_record.attempt.index)
 
 
-def _start_doubt_s(outcome: _messages.StartOutcome) -> float:
+def _late_start_s(outcome: _messages.StartOutcome) -> float:
     """Return how long after its sending a start may still take effect."""
     if outcome is _messages.StartOutcome.UNANSWERED:
         return model.START_VALID_S + model.CLOCK_SKEW_S
     return 0.0
 
 
-def _renew(
+def _extend_lease(
     state: _state.PoolState, worker: _state.WorkerRecord, sent_at: float
 ) -> None:
     """Note that a worker may have received a sync that was sent then."""
-    lease_s = max(worker.sync_lease_s, _holding.lease_s(state))
+    lease_s = max(worker.sync_lease_s, _reservations.lease_s(state))
     worker.expires_at = max(
-        worker.expires_at, sent_at + lease_s * _state.LEASE_MARGIN
+        worker.expires_at, sent_at + lease_s * _state.LEASE_MARGIN_RATIO
     )
 
 
-def _confirm(held: _state.AttemptRecord, now: float) -> None:
+def _confirm(attempt_record: _state.AttemptRecord, now: float) -> None:
     """Note that a worker knows an attempt."""
-    held.confirmed_at = min(held.confirmed_at, now)
-    held.in_doubt = False
-    if held.phase is _state.Phase.STARTING:
-        held.phase = _state.Phase.RUNNING
+    attempt_record.confirmed_at = min(attempt_record.confirmed_at, now)
+    attempt_record.in_doubt = False
+    if attempt_record.phase is _state.Phase.STARTING:
+        attempt_record.phase = _state.Phase.RUNNING
 
 
-def _avoid(
-    state: _state.PoolState, held: _state.AttemptRecord, now: float
+def _avoid_worker(
+    state: _state.PoolState, attempt_record: _state.AttemptRecord, now: float
 ) -> None:
     """Keep new work off a worker for a while."""
-    worker = state.workers.get(held.worker_id)
+    worker = state.workers.get(attempt_record.worker_id)
     if worker is not None:
         worker.avoided_until = now + AVOID_S
-        _state.update_shut(state, worker, now)
-        _timers.schedule(state, now + AVOID_S, "avoid", held.worker_id)
+        _state.update_availability(state, worker, now)
+        _timers.schedule(
+            state, now + AVOID_S, "avoid", attempt_record.worker_id
+        )
 
 
 def _retry_start(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     reason: errors.RetryReason,
     now: float,
     out: list[object],
 ) -> None:
     """Schedule another start, or wait until the lease has expired."""
-    if held.phase is not _state.Phase.STARTING or held.tries >= START_TRIES:
+    if (
+        attempt_record.phase is not _state.Phase.STARTING
+        or attempt_record.starts_sent >= MAX_START_SENDS
+    ):
         return
     out.append(_messages.Retried(reason=reason))
     delay_s = queueing.delay_s(
-        held.tries,
+        attempt_record.starts_sent,
         state.rng,
         base_s=START_RETRY_BASE_S,
         limit_s=START_RETRY_LIMIT_S,
     )
-    _timers.schedule(state, now + delay_s, "start", held.attempt)
+    _timers.schedule(state, now + delay_s, "start", attempt_record.attempt)
 
 
-def _not_started(
+def _release_unstarted(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     now: float,
     out: list[object],
 ) -> None:
     """Release an attempt that certainly did not and will not run."""
-    _end(
+    _end_attempt(
         state,
-        held,
+        attempt_record,
         model.AttemptReport(
-            attempt=held.attempt,
+            attempt=attempt_record.attempt,
             state=model.TaskState.STOPPED,
-            resources=held.need,
+            resources=attempt_record.need,
         ),
         now,
         out,
     )
 
 
-def _lose(
+def _mark_lost(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     now: float,
     out: list[object],
 ) -> None:
     """Release an attempt that has lapsed or is lost by its worker."""
-    _end(
+    _end_attempt(
         state,
-        held,
+        attempt_record,
         model.AttemptReport(
-            attempt=held.attempt,
+            attempt=attempt_record.attempt,
             state=model.TaskState.LAPSED,
-            resources=held.need,
+            resources=attempt_record.need,
         ),
         now,
         out,
     )
 
 
-def _end(
+def _end_attempt(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     report: model.AttemptReport,
     now: float,
     out: list[object],
 ) -> None:
     """Release an attempt and let its task go on."""
-    if held.stray:
-        _holding.release(state, held)
+    if attempt_record.orphaned:
+        _reservations.release(state, attempt_record)
         return
-    record = state.jobs[held.attempt.job_id]
-    asked = held.phase is _state.Phase.ENDING
-    _holding.release(state, held)
-    _outcomes.attempt_over(
-        state, record, report, held.worker_id, now, out, asked=asked
+    record = state.jobs[attempt_record.attempt.job_id]
+    stop_requested = attempt_record.phase is _state.Phase.ENDING
+    _reservations.release(state, attempt_record)
+    _outcomes.on_attempt_ended(
+        state,
+        record,
+        report,
+        attempt_record.worker_id,
+        now,
+        out,
+        stop_requested=stop_requested,
     )
 
 
@@ -426,40 +461,42 @@
     worker_id = worker.instance.instance_id
     attempt = report.attempt
     live = report.state is model.TaskState.RUNNING
-    held = state.attempts.get(attempt)
+    attempt_record = state.attempts.get(attempt)
     if (
-        held is not None
-        and held.worker_id == worker_id
-        and held.phase is not _state.Phase.CLAIMED
+        attempt_record is not None
+        and attempt_record.worker_id == worker_id
+        and attempt_record.phase is not _state.Phase.CLAIMED
     ):
         if live:
-            _confirm(held, now)
+            _confirm(attempt_record, now)
             if report.usage is not model.ZERO:
                 placement.record_usage(state.cell, attempt, report.usage, now)
-            if held.phase is _state.Phase.ENDING:
-                _holding.send_stop(state, held, now, out)
+            if attempt_record.phase is _state.Phase.ENDING:
+                _reservations.send_stop(state, attempt_record, now, out)
             return True
-        if not held.stray:
-            _journal_end(state, worker_id, report, now, out)
-            _end(state, held, report, now, out)
+        if not attempt_record.orphaned:
+            _journal_completion(state, worker_id, report, now, out)
+            _end_attempt(state, attempt_record, report, now, out)
             return False
-        _holding.release(state, held)
+        _reservations.release(state, attempt_record)
     if (worker_id, attempt) in state.unacknowledged:
         return False
     record = state.jobs.get(attempt.job_id)
     if live:
         if record is not None and _is_adoptable(record, attempt):
             _backlog.withdraw_task(state, record, attempt.index)
-            _holding.adopt(state, record, worker_id, report, now)
+            _reservations.adopt(state, record, worker_id, report, now)
         else:
-            _holding.hold_stray(state, worker_id, report, now, out)
+            _reservations.stop_orphan(state, worker_id, report, now, out)
         return False
-    if record is not None and _counts_late(state, record, report, now):
-        _journal_end(state, worker_id, report, now, out)
+    if record is not None and _accepts_late_completion(
+        state, record, report, now
+    ):
+        _journal_completion(state, worker_id, report, now, out)
         record.numbers[attempt.index] = attempt.number
         _backlog.withdraw_task(state, record, attempt.index)
-        _outcomes.attempt_over(
-            state, record, report, worker_id, now, out, asked=False
+        _outcomes.on_attempt_ended(
+            state, record, report, worker_id, now, out, stop_requested=False
         )
         return False
     out.append(_messages.AcknowledgeEnd(worker_id=worker_id, attempt=attempt))
@@ -489,7 +526,7 @@
     )
 
 
-def _counts_late(
+def _accepts_late_completion(
     state: _state.PoolState,
     record: _state.JobRecord,
     report: model.AttemptReport,
@@ -507,17 +544,17 @@
     succeeded = report.state is model.TaskState.SUCCEEDED
     live = record.live.get(attempt.index)
     if live is not None:
-        held = state.attempts[live]
-        if held.phase is not _state.Phase.CLAIMED or not succeeded:
+        attempt_record = state.attempts[live]
+        if attempt_record.phase is not _state.Phase.CLAIMED or not succeeded:
             return False
-        drop_claim(state, held, now)
+        drop_claim(state, attempt_record, now)
     known = record.numbers.get(attempt.index, 0)
     if attempt.number > known:
         return True
     return succeeded and not _state.is_service(record)
 
 
-def _journal_end(
+def _journal_completion(
     state: _state.PoolState,
     worker_id: str,
     report: model.AttemptReport,
--- a/chestnuttide/jobs/_backlog.py
+++ b/chestnuttide/jobs/_backlog.py
@@ -23,7 +23,7 @@
 MIN_COST = 1e-6
 
 
-def expectation(
+def expected_run(
     state: _state.PoolState, job: model.Job
 ) -> queueing.Expectation:
     """Return the expected run time of a task; infinite for services."""
@@ -68,7 +68,7 @@
         record.aborting or record.live or record.delayed
     ):
         return
-    expected_s = estimate(state, record)
+    expected_s = update_estimate(state, record)
     tasks = _state.pending(record) if _state.is_gang(record) else 1
     queueing.push(
         state.queue,
@@ -87,7 +87,9 @@
     state.dirty = True
 
 
-def estimate(state: _state.PoolState, record: _state.JobRecord) -> float:
+def update_estimate(
+    state: _state.PoolState, record: _state.JobRecord
+) -> float:
     """Estimate a job's run time, and what follows from it.
 
     Work of nearly the same need, importance and run time shares a lane of the
@@ -102,7 +104,7 @@
     """
     job = record.job
     need = job.resources
-    expected = expectation(state, job)
+    expected = expected_run(state, job)
     record.run_s = expected.p90_s
     record.cost = cost(state, need, expected.median_s)
     record.long = (
@@ -130,12 +132,12 @@
     return lane.startswith("long/")
 
 
-def stick(state: _state.PoolState, record: _state.JobRecord) -> None:
+def block_lane(state: _state.PoolState, record: _state.JobRecord) -> None:
     """Leave the lane of a job that fits nowhere, until room is freed."""
-    state.stuck[record.lane] = _floor_need(record.job.resources)
+    state.blocked_lanes[record.lane] = _floor_need(record.job.resources)
 
 
-def unstick(
+def unblock_lanes(
     state: _state.PoolState, worker_ids: collections.abc.Iterable[str]
 ) -> dict[str, model.Resources]:
     """Try the lanes again that may fit a worker on which room was freed.
@@ -145,23 +147,23 @@
     dict of str to Resources
         Least need of each of these lanes.
     """
-    frees = _frees(state, worker_ids)
-    if not frees:
+    free_capacities = _free_capacities(state, worker_ids)
+    if not free_capacities:
         return {}
-    loose = {
+    unblocked = {
         lane: need
-        for lane, need in state.stuck.items()
-        if any(model.fits(need, free) for free in frees)
+        for lane, need in state.blocked_lanes.items()
+        if any(model.fits(need, free) for free in free_capacities)
     }
-    for lane in loose:
-        del state.stuck[lane]
+    for lane in unblocked:
+        del state.blocked_lanes[lane]
         state.dirty = True
-    return loose
+    return unblocked
 
 
-def stick_again(
+def reblock_lanes(
     state: _state.PoolState,
-    loose: dict[str, model.Resources],
+    unblocked: dict[str, model.Resources],
     worker_ids: collections.abc.Iterable[str],
 ) -> None:
     """Leave lanes again whose room another task has taken meanwhile.
@@ -171,28 +173,28 @@
     state : PoolState
         The pool.
     loose : dict of str to Resources
-        What `unstick` returned; lanes that are left again are removed.
+        What `unblock_lanes` returned; lanes that are left again are removed.
     worker_ids : iterable of str
         The workers on which room was freed.
     """
-    frees = _frees(state, worker_ids)
-    for lane, need in list(loose.items()):
-        if not any(model.fits(need, free) for free in frees):
-            del loose[lane]
-            state.stuck[lane] = need
+    free_capacities = _free_capacities(state, worker_ids)
+    for lane, need in list(unblocked.items()):
+        if not any(model.fits(need, free) for free in free_capacities):
+            del unblocked[lane]
+            state.blocked_lanes[lane] = need
 
 
-def _frees(
+def _free_capacities(
     state: _state.PoolState, worker_ids: collections.abc.Iterable[str]
 ) -> list[model.Resources]:
     return [
         placement.free_of(state.cell, worker_id)
         for worker_id in worker_ids
-        if worker_id not in state.shut and worker_id in state.workers
+        if worker_id not in state.unavailable and worker_id in state.workers
     ]
 
 
-def wait_again(
+def requeue_task(
     state: _state.PoolState, record: _state.JobRecord, index: int
 ) -> None:
     """Let a task wait for its next start."""
@@ -200,15 +202,15 @@
     enqueue(state, record)
 
 
-def take_task(record: _state.JobRecord) -> int | None:
+def pop_task(record: _state.JobRecord) -> int | None:
     """Take the next task that waits; tasks that ran before come first."""
     if record.waiting:
         index = next(iter(record.waiting))
         del record.waiting[index]
         return index
-    if record.fresh < record.job.tasks:
-        record.fresh += 1
-        return record.fresh - 1
+    if record.first_unstarted < record.job.tasks:
+        record.first_unstarted += 1
+        return record.first_unstarted - 1
     return None
 
 
@@ -220,14 +222,16 @@
     record.delayed.discard(index)
     if not record.settled:
         return
-    if index >= record.fresh:
-        for other in range(record.fresh, index):
+    if index >= record.first_unstarted:
+        for other in range(record.first_unstarted, index):
             record.waiting[other] = None
-        record.fresh = index + 1
-    leave_if_empty(state, record)
+        record.first_unstarted = index + 1
+    dequeue_if_empty(state, record)
 
 
-def leave_if_empty(state: _state.PoolState, record: _state.JobRecord) -> None:
+def dequeue_if_empty(
+    state: _state.PoolState, record: _state.JobRecord
+) -> None:
     """Take a job without tasks to start out of the queue."""
     if not _state.pending(record):
         queueing.cancel(state.queue, record.job.job_id)
--- a/chestnuttide/jobs/_gangs.py
+++ b/chestnuttide/jobs/_gangs.py
@@ -1,8 +1,8 @@
 """Gangs: all tasks start at once or none, with one reservation at a time."""
 
 from chestnuttide.jobs import _backlog
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _outcomes
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
 from chestnuttide import model
@@ -61,9 +61,11 @@
         placement.release_hold(state.cell)
     record.gang_serial += 1
     for worker_id in worker_ids:
-        index = _backlog.take_task(record)
+        index = _backlog.pop_task(record)
         if index is not None:
-            _holding.begin(state, record, index, worker_id, now, out)
+            _reservations.start_attempt(
+                state, record, index, worker_id, now, out
+            )
     _timers.schedule(
         state,
         now + GANG_START_S,
@@ -93,7 +95,7 @@
         state.attempts[attempt].phase is _state.Phase.STARTING
         for attempt in record.live.values()
     ):
-        _outcomes.break_gang(state, record, now, out)
+        _outcomes.abort_gang(state, record, now, out)
 
 
 def on_backoff_timer(state: _state.PoolState, job_id: str) -> None:
@@ -116,12 +118,12 @@
     """Hold workers for a gang, if none are held for another one."""
     if (
         placement.held_key(state.cell) is not None
-        or now < state.gang_plan_at
-        or now < record.hold_after
+        or now < state.next_gang_plan_at
+        or now < record.next_reservation_at
     ):
         return
     limit_s = state.document.pool.gang_reservation_s
-    state.gang_plan_at = now + PLAN_INTERVAL_S
+    state.next_gang_plan_at = now + PLAN_INTERVAL_S
     plan = placement.plan_gang_reservation(
         state.cell,
         need=record.job.resources,
@@ -134,4 +136,4 @@
         return
     placement.hold(state.cell, plan=plan, key=record.job.job_id, now=now)
     # After a hold that did not help, another gang has its turn first.
-    record.hold_after = now + 2 * limit_s
+    record.next_reservation_at = now + 2 * limit_s
--- a/chestnuttide/jobs/_outcomes.py
+++ b/chestnuttide/jobs/_outcomes.py
@@ -3,9 +3,9 @@
 from chestnuttide import errors
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _events
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _journal
 from chestnuttide.jobs import _messages
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
 from chestnuttide import model
@@ -26,8 +26,8 @@
 TOTAL_FAILURES_FACTOR = 2
 
 # Ended jobs stay readable for this many seconds and up to this many jobs.
-ENDED_KEEP_S = 900.0
-ENDED_KEEP_COUNT = 20_000
+ENDED_RETENTION_S = 900.0
+ENDED_RETENTION_COUNT = 20_000
 
 # Attempts of ended jobs that are asked to stop per call.
 STOPS_PER_CALL = 256
@@ -88,11 +88,13 @@
         record = state.jobs.get(state.closing[0])
         attempts = [] if record is None else list(record.live.values())
         for attempt in attempts:
-            held = state.attempts[attempt]
-            if held.phase is _state.Phase.CLAIMED:
-                _holding.release(state, held)
-            elif held.phase is not _state.Phase.ENDING:
-                _holding.stop(state, held, now, out, checkpoint=False)
+            attempt_record = state.attempts[attempt]
+            if attempt_record.phase is _state.Phase.CLAIMED:
+                _reservations.release(state, attempt_record)
+            elif attempt_record.phase is not _state.Phase.ENDING:
+                _reservations.stop(
+                    state, attempt_record, now, out, checkpoint=False
+                )
             else:
                 continue
             budget -= 1
@@ -106,8 +108,8 @@
     for _ in range(min(len(state.ended), STOPS_PER_CALL)):
         ended_at, job_id = state.ended[0]
         if (
-            ended_at + ENDED_KEEP_S > now
-            and len(state.ended) <= ENDED_KEEP_COUNT
+            ended_at + ENDED_RETENTION_S > now
+            and len(state.ended) <= ENDED_RETENTION_COUNT
         ):
             return
         state.ended.popleft()
@@ -119,7 +121,7 @@
             del state.jobs[job_id]
 
 
-def attempt_over(
+def on_attempt_ended(
     state: _state.PoolState,
     record: _state.JobRecord,
     report: model.AttemptReport,
@@ -127,7 +129,7 @@
     now: float,
     out: list[object],
     *,
-    asked: bool,
+    stop_requested: bool,
 ) -> None:
     """Decide how a task goes on after an attempt ended or lapsed.
 
@@ -153,7 +155,7 @@
         return
     index = report.attempt.index
     succeeded = report.state is model.TaskState.SUCCEEDED
-    failed = report.state is model.TaskState.FAILED and not asked
+    failed = report.state is model.TaskState.FAILED and not stop_requested
     if succeeded or failed:
         ejected = placement.is_ejected(state.cell, worker_id)
         placement.record_outcome(
@@ -166,29 +168,37 @@
         if ejected != placement.is_ejected(state.cell, worker_id):
             _state.capacity_changed(state)
     if _state.is_service(record):
-        _restart(state, record, report, worker_id, now, out, asked=asked)
+        _restart_service_task(
+            state,
+            record,
+            report,
+            worker_id,
+            now,
+            out,
+            stop_requested=stop_requested,
+        )
         return
     if succeeded:
-        _succeed(state, record, report, now, out)
+        _record_success(state, record, report, now, out)
         return
     if failed:
-        if _count_failure(state, record, index, worker_id):
+        if _fails_job(state, record, index, worker_id):
             finish_job(
                 state, record, model.JobState.FAILED, TASK_FAILED, now, out
             )
             return
         out.append(_messages.Retried(reason=errors.RetryReason.TASK_FAILED))
     else:
-        out.append(_messages.Retried(reason=_reason(report, asked)))
+        out.append(_messages.Retried(reason=_reason(report, stop_requested)))
     if _state.is_gang(record):
         record.waiting[index] = None
         if record.settled:
-            break_gang(state, record, now, out)
+            abort_gang(state, record, now, out)
     elif failed:
         failures = sum(record.failed_on[index].values())
         delay_task(state, record, index, failures, now)
     else:
-        _backlog.wait_again(state, record, index)
+        _backlog.requeue_task(state, record, index)
 
 
 def delay_task(
@@ -206,7 +216,7 @@
     _timers.schedule(state, now + delay_s, "task", record.job.job_id, index)
 
 
-def break_gang(
+def abort_gang(
     state: _state.PoolState,
     record: _state.JobRecord,
     now: float,
@@ -218,9 +228,11 @@
     """
     record.aborting = True
     for attempt in list(record.live.values()):
-        held = state.attempts[attempt]
-        if held.phase is not _state.Phase.ENDING:
-            _holding.stop(state, held, now, out, checkpoint=False)
+        attempt_record = state.attempts[attempt]
+        if attempt_record.phase is not _state.Phase.ENDING:
+            _reservations.stop(
+                state, attempt_record, now, out, checkpoint=False
+            )
     requeue_gang(state, record, now)
 
 
@@ -238,8 +250,8 @@
     record.aborting = False
     record.restarts += 1
     record.delayed = set(record.waiting)
-    record.delayed.update(range(record.fresh, record.job.tasks))
-    record.fresh = record.job.tasks
+    record.delayed.update(range(record.first_unstarted, record.job.tasks))
+    record.first_unstarted = record.job.tasks
     record.waiting = {}
     delay_s = queueing.delay_s(
         record.restarts,
@@ -250,7 +262,7 @@
     _timers.schedule(state, now + delay_s, "gang", record.job.job_id)
 
 
-def _succeed(
+def _record_success(
     state: _state.PoolState,
     record: _state.JobRecord,
     report: model.AttemptReport,
@@ -275,7 +287,7 @@
         requeue_gang(state, record, now)
 
 
-def _restart(
+def _restart_service_task(
     state: _state.PoolState,
     record: _state.JobRecord,
     report: model.AttemptReport,
@@ -283,41 +295,43 @@
     now: float,
     out: list[object],
     *,
-    asked: bool,
+    stop_requested: bool,
 ) -> None:
     """Start a service's task again, after a backoff if it ended by itself."""
     index = report.attempt.index
-    ended_itself = not asked and report.state in (
+    ended_itself = not stop_requested and report.state in (
         model.TaskState.SUCCEEDED,
         model.TaskState.FAILED,
     )
     if not ended_itself:
-        out.append(_messages.Retried(reason=_reason(report, asked)))
-        _backlog.wait_again(state, record, index)
+        out.append(_messages.Retried(reason=_reason(report, stop_requested)))
+        _backlog.requeue_task(state, record, index)
         return
     out.append(_messages.Retried(reason=errors.RetryReason.TASK_FAILED))
     if report.run_s >= STABLE_RUN_S:
         record.failed_on.pop(index, None)
-    count_failure(record, index, worker_id)
+    record_failure(record, index, worker_id)
     failures = sum(record.failed_on[index].values())
     delay_task(state, record, index, failures, now)
 
 
-def _reason(report: model.AttemptReport, asked: bool) -> errors.RetryReason:
+def _reason(
+    report: model.AttemptReport, stop_requested: bool
+) -> errors.RetryReason:
     """Return why a task that did not fail runs again."""
-    if asked and report.state is not model.TaskState.LAPSED:
+    if stop_requested and report.state is not model.TaskState.LAPSED:
         return errors.RetryReason.PREEMPTED
     return errors.RetryReason.WORKER_LOST
 
 
-def _count_failure(
+def _fails_job(
     state: _state.PoolState,
     record: _state.JobRecord,
     index: int,
     worker_id: str,
 ) -> bool:
     """Count a failure of a task; returns whether its job has failed."""
-    count_failure(record, index, worker_id)
+    record_failure(record, index, worker_id)
     failures = record.failed_on[index]
     limit = _state.class_config(state, record.job).max_attempts
     return (
@@ -326,7 +340,7 @@
     )
 
 
-def count_failure(
+def record_failure(
     record: _state.JobRecord, index: int, worker_id: str
 ) -> None:
     """Count a failure of a task on a worker."""
--- a/chestnuttide/jobs/_placing.py
+++ b/chestnuttide/jobs/_placement_loop.py
@@ -3,16 +3,16 @@
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _gangs
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _outcomes
 from chestnuttide.jobs import _preemption
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide import model
 from chestnuttide import placement
 from chestnuttide import queueing
 
 # Tasks of one job started in a row before the order is looked at again.
-BURST = 4
+MAX_BURST_TASKS = 4
 
 # Searches for victims per call; each compares many workers.
 PREEMPTIONS_PER_CALL = 4
@@ -27,20 +27,20 @@
 
 def place(state: _state.PoolState, now: float, out: list[object]) -> None:
     """Start waiting tasks, up to the limit of decisions per call."""
-    if not _attempts.may_send(state):
+    if not _attempts.may_send_starts(state):
         return
     if now >= state.refreshed_at + REFRESH_S:
         state.refreshed_at = now
         if state.queue.items:
             _state.capacity_changed(state)
-    freed = _preemption.serve_claims(state, now, out)
-    loose = _backlog.unstick(state, freed)
+    freed = _preemption.fill_claims(state, now, out)
+    unblocked = _backlog.unblock_lanes(state, freed)
     if not state.dirty:
         return
     budget = state.decisions_per_call
     preemptions = [PREEMPTIONS_PER_CALL]
     while budget > 0:
-        skipped = state.stuck.keys() | _long_to_skip(state)
+        skipped = state.blocked_lanes.keys() | _long_to_skip(state)
         heads = queueing.candidates(state.queue, 1, skipped_lanes=skipped)
         if not heads:
             state.dirty = False
@@ -48,9 +48,9 @@
         decided = _try_job(state, heads[0], now, out, preemptions)
         budget -= max(1, decided)
         if not decided:
-            _backlog.stick(state, state.jobs[heads[0].key])
-        elif loose:
-            _backlog.stick_again(state, loose, freed)
+            _backlog.block_lane(state, state.jobs[heads[0].key])
+        elif unblocked:
+            _backlog.reblock_lanes(state, unblocked, freed)
 
 
 def _long_to_skip(state: _state.PoolState) -> set[str]:
@@ -59,8 +59,8 @@
     These are all of them while long work holds its share and short work
     waits that its quota does not hold back.
     """
-    held = _backlog.share(state, state.long_held)
-    if held < state.document.pool.long_share:
+    reserved_share = _backlog.share(state, state.long_reserved)
+    if reserved_share < state.document.pool.long_share:
         return set()
     lanes = {lane for _, lane in state.queue.bands if _backlog.is_long(lane)}
     if lanes and queueing.candidates(state.queue, 1, skipped_lanes=lanes):
@@ -91,14 +91,14 @@
             state, record, _excluded(state, record, None), now, out
         )
     started = 0
-    while started < BURST and _state.pending(record):
+    while started < MAX_BURST_TASKS and _state.pending(record):
         if not _within_quota(state, record, record.job.resources):
             started = started or _BLOCKED
             break
         if not _try_task(state, record, now, out, preemptions):
             break
         started += 1
-    _backlog.leave_if_empty(state, record)
+    _backlog.dequeue_if_empty(state, record)
     return started
 
 
@@ -145,9 +145,9 @@
         if reclaimed and not state.workers[worker_id].allows_overcommit:
             worker_id = None
     if worker_id is not None:
-        index = _backlog.take_task(record)
+        index = _backlog.pop_task(record)
         if index is not None:
-            _holding.begin(
+            _reservations.start_attempt(
                 state,
                 record,
                 index,
@@ -163,7 +163,7 @@
             return True
     if failed_on:
         # It avoids workers that others in its lane may use.
-        index = _backlog.take_task(record)
+        index = _backlog.pop_task(record)
         if index is not None:
             _outcomes.delay_task(state, record, index, 1, now)
         return True
@@ -208,8 +208,8 @@
     else:
         avoided = set(failed_on)
     if not avoided or not _fits_elsewhere(state, record, avoided):
-        return state.shut
-    return state.shut | avoided
+        return state.unavailable
+    return state.unavailable | avoided
 
 
 def _fits_elsewhere(
@@ -229,16 +229,16 @@
             worker_id not in avoided
             and worker.instance.state is model.InstanceState.LIVE
             and worker.reported
-            and worker.failures < _state.MAX_FAILURES
+            and worker.failures < _state.MAX_SYNC_FAILURES
             and not placement.is_ejected(state.cell, worker_id)
         ):
-            count -= _times(need, worker.instance.capacity)
+            count -= _fit_count(need, worker.instance.capacity)
             if count <= 0:
                 return True
     return False
 
 
-def _times(need: model.Resources, capacity: model.Resources) -> int:
+def _fit_count(need: model.Resources, capacity: model.Resources) -> int:
     """Return how often a need fits into a capacity."""
     count = min(
         capacity.cpu_millis // need.cpu_millis,
--- a/chestnuttide/jobs/_pool.py
+++ b/chestnuttide/jobs/_pool.py
@@ -7,7 +7,7 @@
 from chestnuttide.jobs import _gangs
 from chestnuttide.jobs import _messages
 from chestnuttide.jobs import _outcomes
-from chestnuttide.jobs import _placing
+from chestnuttide.jobs import _placement_loop
 from chestnuttide.jobs import _preemption
 from chestnuttide.jobs import _recovery
 from chestnuttide.jobs import _state
@@ -38,14 +38,14 @@
     def run(message: object, now: float) -> list[object]:
         out: list[object] = []
         _handle(state, message, now, out)
-        for kind, arguments in _timers.take_due(state, now):
+        for kind, arguments in _timers.pop_due(state, now):
             _on_timer(state, kind, arguments, now, out)
         _recovery.settle_if_known(state, now, out)
         _outcomes.stop_closing(state, now, out)
         if isinstance(message, _messages.Tick):
             _outcomes.forget_ended(state, now)
             _preemption.relieve(state, now, out)
-        _placing.place(state, now, out)
+        _placement_loop.place(state, now, out)
         return out
 
     return run
@@ -55,7 +55,7 @@
     """Return whether the last call left work that could go on at once."""
     return bool(
         state.closing
-        or (state.dirty and _attempts.may_send(state))
+        or (state.dirty and _attempts.may_send_starts(state))
         or (state.timers and state.timers[0][0] <= now)
     )
 
@@ -124,7 +124,7 @@
         case ("accept", call, job_id):
             _acceptance.on_accepted(state, call, job_id, now, out)
         case ("unanswered", job_id):
-            _acceptance.open_job(state, job_id)
+            _acceptance.queue_durable_job(state, job_id)
         case ("cancel", call, job_id):
             out.append(
                 _messages.JobCancelled(
@@ -153,7 +153,7 @@
     """Handle a timer that fell due."""
     match kind:
         case "lapse":
-            _attempts.on_lapse_timer(state, *arguments, now, out)
+            _attempts.on_lease_timer(state, *arguments, now, out)
         case "start":
             _attempts.on_start_timer(state, *arguments, now, out)
         case "stop":
@@ -173,7 +173,7 @@
         case "avoid":
             worker = state.workers.get(arguments[0])
             if worker is not None:
-                _state.update_shut(state, worker, now)
+                _state.update_availability(state, worker, now)
 
 
 def _on_task_timer(state: _state.PoolState, job_id: str, index: int) -> None:
@@ -182,4 +182,4 @@
     if record is None or index not in record.delayed:
         return
     record.delayed.discard(index)
-    _backlog.wait_again(state, record, index)
+    _backlog.requeue_task(state, record, index)
--- a/chestnuttide/jobs/_preemption.py
+++ b/chestnuttide/jobs/_preemption.py
@@ -2,8 +2,8 @@
 
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _backlog
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _messages
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
 from chestnuttide import model
@@ -13,7 +13,7 @@
 CLAIM_LIMIT_S = 30.0
 
 # Choices of victims that are made anew because of a service's minimum.
-CHOICES = 3
+MAX_VICTIM_CHOICES = 3
 
 # Share of its processor time that a throttled attempt keeps, and the seconds
 # for which it is throttled.
@@ -24,7 +24,7 @@
 RELIEF_INTERVAL_S = 1.0
 
 # Attempts that are moved off leaving workers per look.
-MOVES_PER_LOOK = 32
+MOVES_PER_ROUND = 32
 
 
 def may_preempt(record: _state.JobRecord) -> bool:
@@ -52,24 +52,28 @@
     if victims is None:
         return False
     worker_id, attempts = victims
-    index = _backlog.take_task(record)
+    index = _backlog.pop_task(record)
     if index is None:
         return False
-    held = _holding.begin(
+    attempt_record = _reservations.start_attempt(
         state, record, index, worker_id, now, out, claimed=True
     )
-    state.claims[held.attempt] = now + CLAIM_LIMIT_S
-    state.workers[worker_id].claims[held.attempt] = None
-    _timers.schedule(state, now + CLAIM_LIMIT_S, "claim", held.attempt)
+    state.claims[attempt_record.attempt] = now + CLAIM_LIMIT_S
+    state.workers[worker_id].claims[attempt_record.attempt] = None
+    _timers.schedule(
+        state, now + CLAIM_LIMIT_S, "claim", attempt_record.attempt
+    )
     for attempt in attempts:
         victim = state.attempts[attempt]
         policy = _state.class_config(state, state.jobs[attempt.job_id].job)
-        _holding.stop(state, victim, now, out, checkpoint=policy.checkpoint)
+        _reservations.stop(
+            state, victim, now, out, checkpoint=policy.checkpoint
+        )
     state.freed[worker_id] = None
     return True
 
 
-def serve_claims(
+def fill_claims(
     state: _state.PoolState, now: float, out: list[object]
 ) -> list[str]:
     """Reserve what was freed for the claims on it, before anything else.
@@ -86,7 +90,7 @@
         if worker is None:
             continue
         for attempt in list(worker.claims):
-            _serve(state, worker, state.attempts[attempt], now, out)
+            _fill_claim(state, worker, state.attempts[attempt], now, out)
     return list(freed)
 
 
@@ -94,50 +98,65 @@
     state: _state.PoolState, attempt: model.Attempt, now: float
 ) -> None:
     """Give up a claim whose victims did not end in time."""
-    held = state.attempts.get(attempt)
-    if held is not None and held.phase is _state.Phase.CLAIMED:
-        _attempts.drop_claim(state, held, now)
+    attempt_record = state.attempts.get(attempt)
+    if (
+        attempt_record is not None
+        and attempt_record.phase is _state.Phase.CLAIMED
+    ):
+        _attempts.drop_claim(state, attempt_record, now)
 
 
 def relieve(state: _state.PoolState, now: float, out: list[object]) -> None:
     """Throttle or evict work on overcommitted workers; empty leaving ones."""
-    if now < state.relief_at:
+    if now < state.next_relief_at:
         return
-    state.relief_at = now + RELIEF_INTERVAL_S
+    state.next_relief_at = now + RELIEF_INTERVAL_S
     for relief in placement.overcommitted(state.cell):
-        held = state.attempts.get(relief.attempt)
-        if held is None or held.phase is not _state.Phase.RUNNING:
+        attempt_record = state.attempts.get(relief.attempt)
+        if (
+            attempt_record is None
+            or attempt_record.phase is not _state.Phase.RUNNING
+        ):
             continue
         if relief.action is placement.ReliefAction.THROTTLE:
-            _throttle(state, held, THROTTLE_SHARE, out)
+            _throttle(state, attempt_record, THROTTLE_SHARE, out)
             _timers.schedule(
-                state, now + THROTTLE_S, "unthrottle", held.attempt
+                state, now + THROTTLE_S, "unthrottle", attempt_record.attempt
             )
         else:
-            _holding.stop(state, held, now, out, checkpoint=relief.checkpoint)
-    _empty_leaving(state, now, out)
+            _reservations.stop(
+                state, attempt_record, now, out, checkpoint=relief.checkpoint
+            )
+    _drain_leaving(state, now, out)
 
 
 def on_unthrottle_timer(
     state: _state.PoolState, attempt: model.Attempt, out: list[object]
 ) -> None:
     """End the throttling of an attempt."""
-    held = state.attempts.get(attempt)
-    if held is not None and held.phase is _state.Phase.RUNNING:
-        _throttle(state, held, 1.0, out)
+    attempt_record = state.attempts.get(attempt)
+    if (
+        attempt_record is not None
+        and attempt_record.phase is _state.Phase.RUNNING
+    ):
+        _throttle(state, attempt_record, 1.0, out)
 
 
 def _throttle(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     share: float,
     out: list[object],
 ) -> None:
     """Limit the processor time of an attempt."""
-    placement.mark_throttled(state.cell, held.attempt, throttled=share < 1.0)
+    placement.mark_throttled(
+        state.cell, attempt_record.attempt, throttled=share < 1.0
+    )
     out.append(
         _messages.ThrottleTask(
-            worker_id=held.worker_id, attempt=held.attempt, share=share
+            worker_id=attempt_record.worker_id,
+            attempt=attempt_record.attempt,
+            share=share,
         )
     )
 
@@ -147,25 +166,25 @@
 ) -> tuple[str, list[model.Attempt]] | None:
     """Choose victims that leave every service its minimum."""
     protected = set(state.ending)
-    for _ in range(CHOICES):
+    for _ in range(MAX_VICTIM_CHOICES):
         found = placement.choose_victims(
             state.cell,
             need=record.job.resources,
             priority=_state.priority(record),
             now=now,
-            excluded=state.shut,
+            excluded=state.unavailable,
             protected=protected,
         )
         if found is None:
             return None
-        spared = _needed_up(state, found[1])
+        spared = _needed_for_minimum(state, found[1])
         if not spared:
             return found
         protected.update(spared)
     return None
 
 
-def _needed_up(
+def _needed_for_minimum(
     state: _state.PoolState, attempts: list[model.Attempt]
 ) -> list[model.Attempt]:
     """Return the attempts whose end would leave a service below minimum."""
@@ -177,12 +196,12 @@
             continue
         count = stopped[attempt.job_id] = stopped.get(attempt.job_id, 0) + 1
         minimum = _state.class_config(state, record.job).minimum_up
-        if _up(state, record) - count < minimum:
+        if _running_count(state, record) - count < minimum:
             needed.append(attempt)
     return needed
 
 
-def _up(state: _state.PoolState, record: _state.JobRecord) -> int:
+def _running_count(state: _state.PoolState, record: _state.JobRecord) -> int:
     """Return the number of a job's tasks that run."""
     return sum(
         state.attempts[attempt].phase is _state.Phase.RUNNING
@@ -190,49 +209,53 @@
     )
 
 
-def _serve(
+def _fill_claim(
     state: _state.PoolState,
     worker: _state.WorkerRecord,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     now: float,
     out: list[object],
 ) -> None:
     """Reserve as much of a claim as is free; start it when that is all."""
-    record = state.jobs[held.attempt.job_id]
-    placement.release(state.cell, held.attempt)
-    worker_id = held.worker_id
+    record = state.jobs[attempt_record.attempt.job_id]
+    placement.release(state.cell, attempt_record.attempt)
+    worker_id = attempt_record.worker_id
     if (
         worker.instance.state is not model.InstanceState.LIVE
-        or worker_id in state.shut
-        or not _attempts.may_send(state)
+        or worker_id in state.unavailable
+        or not _attempts.may_send_starts(state)
     ):
-        _attempts.drop_claim(state, held, now)
+        _attempts.drop_claim(state, attempt_record, now)
         return
     free = placement.free_of(state.cell, worker_id)
     amount = model.Resources(
-        cpu_millis=max(0, min(free.cpu_millis, held.need.cpu_millis)),
-        memory_mb=max(0, min(free.memory_mb, held.need.memory_mb)),
-        accelerators=max(0, min(free.accelerators, held.need.accelerators)),
+        cpu_millis=max(
+            0, min(free.cpu_millis, attempt_record.need.cpu_millis)
+        ),
+        memory_mb=max(0, min(free.memory_mb, attempt_record.need.memory_mb)),
+        accelerators=max(
+            0, min(free.accelerators, attempt_record.need.accelerators)
+        ),
     )
-    whole = amount == held.need
-    if whole:
-        held.phase = _state.Phase.STARTING
+    complete = amount == attempt_record.need
+    if complete:
+        attempt_record.phase = _state.Phase.STARTING
     try:
-        _holding.reserve(state, record, held, amount)
+        _reservations.reserve(state, record, attempt_record, amount)
     except (
         placement.CapacityError,
         placement.WorkerUnavailableError,
     ):
         # The worker was ejected, or is over capacity in another dimension.
-        held.phase = _state.Phase.CLAIMED
+        attempt_record.phase = _state.Phase.CLAIMED
         if placement.is_ejected(state.cell, worker_id):
-            _attempts.drop_claim(state, held, now)
+            _attempts.drop_claim(state, attempt_record, now)
         return
-    if whole:
-        _holding.launch(state, record, held, now, out)
+    if complete:
+        _reservations.launch(state, record, attempt_record, now, out)
 
 
-def _empty_leaving(
+def _drain_leaving(
     state: _state.PoolState, now: float, out: list[object]
 ) -> None:
     """Stop work on leaving workers that can go on elsewhere.
@@ -240,29 +263,31 @@
     Services move while enough of their tasks stay up, and work that can be
     checkpointed moves at once. Other work is left to end by itself.
     """
-    budget = MOVES_PER_LOOK
+    budget = MOVES_PER_ROUND
     for worker_id in state.leaving:
         worker = state.workers.get(worker_id)
         if worker is None:
             continue
         for attempt in list(worker.attempts):
-            held = state.attempts[attempt]
-            if held.phase is not _state.Phase.RUNNING:
+            attempt_record = state.attempts[attempt]
+            if attempt_record.phase is not _state.Phase.RUNNING:
                 continue
             record = state.jobs[attempt.job_id]
             if _state.is_gang(record):
                 continue
             policy = _state.class_config(state, record.job)
             if _state.is_service(record):
-                up = _up(state, record)
+                running = _running_count(state, record)
                 # A service of which all tasks must stay up is moved one task
                 # at a time.
                 minimum = min(policy.minimum_up, record.job.tasks - 1)
-                if up <= minimum:
+                if running <= minimum:
                     continue
             elif not policy.checkpoint:
                 continue
-            _holding.stop(state, held, now, out, checkpoint=policy.checkpoint)
+            _reservations.stop(
+                state, attempt_record, now, out, checkpoint=policy.checkpoint
+            )
             budget -= 1
             if budget == 0:
                 return
--- a/chestnuttide/jobs/_recovery.py
+++ b/chestnuttide/jobs/_recovery.py
@@ -4,10 +4,10 @@
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _events
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _journal
 from chestnuttide.jobs import _messages
 from chestnuttide.jobs import _outcomes
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _snapshot
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
@@ -16,7 +16,7 @@
 
 # Seconds after the end of a job during which its attempts may not have been
 # stopped yet.
-STRAY_S = 60.0
+ORPHAN_WINDOW_S = 60.0
 
 
 def on_recovered(
@@ -41,18 +41,18 @@
         now
         + model.START_VALID_S
         + model.CLOCK_SKEW_S
-        + _holding.lease_s(state) * _state.LEASE_MARGIN
+        + _reservations.lease_s(state) * _state.LEASE_MARGIN_RATIO
     )
     for worker_id, worker in state.workers.items():
         worker.reported = False
         state.unreported.add(worker_id)
-        _state.update_shut(state, worker, now)
+        _state.update_availability(state, worker, now)
     for record in state.jobs.values():
         if _state.is_open(record) or (
             record.state is not model.JobState.SUCCEEDED
-            and now - record.ended_at < STRAY_S
+            and now - record.ended_at < ORPHAN_WINDOW_S
         ):
-            _holding.assume(
+            _reservations.assume_running(
                 state, record, record.job.tasks - record.done_count
             )
     _timers.schedule(state, state.settle_at, "settle")
@@ -93,8 +93,8 @@
         else:
             state.leaving.pop(worker_id, None)
         state.freed[worker_id] = None
-        _state.update_shut(state, worker, now)
-        _attempts.watch_leases(state, worker)
+        _state.update_availability(state, worker, now)
+        _attempts.schedule_lease_check(state, worker)
         _attempts.remove_if_gone(state, worker)
     _state.capacity_changed(state)
 
@@ -111,7 +111,7 @@
     state.settled = True
     state.unreported.clear()
     for record in list(state.jobs.values()):
-        _holding.drop_assumed(state, record, record.assumed)
+        _reservations.release_assumed(state, record, record.assumed)
         if not record.settled:
             _settle(state, record, now, out)
     for worker in list(state.workers.values()):
@@ -129,28 +129,28 @@
     record.settled = True
     if not _state.is_open(record):
         return
-    _acceptance.watch_wait(state, record)
+    _acceptance.schedule_wait_limit(state, record)
     tasks = record.job.tasks
     if record.done_count == tasks:
         _outcomes.finish_job(
             state, record, model.JobState.SUCCEEDED, "", now, out
         )
         return
-    touched = max(
+    started_end = max(
         len(record.done) * 8,
         max(record.live, default=-1) + 1,
         max(record.delayed, default=-1) + 1,
         max(record.numbers, default=-1) + 1,
     )
-    record.fresh = min(touched, tasks)
+    record.first_unstarted = min(started_end, tasks)
     record.waiting = {
         index: None
-        for index in range(record.fresh)
+        for index in range(record.first_unstarted)
         if index not in record.live
         and index not in record.delayed
         and not _state.is_done(record, index)
     }
     if _state.is_gang(record) and record.live and _state.pending(record):
-        _outcomes.break_gang(state, record, now, out)
+        _outcomes.abort_gang(state, record, now, out)
         return
     _backlog.enqueue(state, record)
--- a/chestnuttide/jobs/_holding.py
+++ b/chestnuttide/jobs/_reservations.py
@@ -27,11 +27,11 @@
     """Return the number of the next attempt of a task."""
     return max(
         record.numbers.get(index, 0) + 1,
-        state.generation * _state.NUMBER_STRIDE + 1,
+        state.generation * _state.ATTEMPT_NUMBER_STRIDE + 1,
     )
 
 
-def begin(
+def start_attempt(
     state: _state.PoolState,
     record: _state.JobRecord,
     index: int,
@@ -53,7 +53,7 @@
         index=index,
         number=next_number(state, record, index),
     )
-    held = _state.AttemptRecord(
+    attempt_record = _state.AttemptRecord(
         attempt=attempt,
         worker_id=worker_id,
         phase=_state.Phase.CLAIMED if claimed else _state.Phase.STARTING,
@@ -65,26 +65,26 @@
         reclaimed=reclaimed,
     )
     if not claimed:
-        reserve(state, record, held, job.resources)
-    _register(state, record, held)
-    queueing.charge(state.queue, job.team, held.cost)
+        reserve(state, record, attempt_record, job.resources)
+    _register(state, record, attempt_record)
+    queueing.charge(state.queue, job.team, attempt_record.cost)
     if not claimed:
-        launch(state, record, held, now, out)
-    return held
+        launch(state, record, attempt_record, now, out)
+    return attempt_record
 
 
 def launch(
     state: _state.PoolState,
     record: _state.JobRecord,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     now: float,
     out: list[object],
 ) -> None:
     """Send the first start of an attempt whose capacity is reserved."""
     job = record.job
-    attempt = held.attempt
-    held.phase = _state.Phase.STARTING
-    held.started_at = now
+    attempt = attempt_record.attempt
+    attempt_record.phase = _state.Phase.STARTING
+    attempt_record.started_at = now
     if attempt.index not in record.numbers:
         out.append(
             _messages.Placed(
@@ -101,17 +101,17 @@
             # whose worker has failed.
             event = _events.job_started(job.job_id, now)
             _journal.append(state, event, out)
-    worker = state.workers[held.worker_id]
+    worker = state.workers[attempt_record.worker_id]
     worker.claims.pop(attempt, None)
     worker.attempts[attempt] = None
     state.claims.pop(attempt, None)
-    send_start(state, held, out)
+    send_start(state, attempt_record, out)
 
 
 def reserve(
     state: _state.PoolState,
     record: _state.JobRecord,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     amount: model.Resources,
 ) -> None:
     """Reserve an amount on the worker of an attempt.
@@ -124,20 +124,20 @@
     policy = _state.class_config(state, record.job)
     placement.reserve(
         state.cell,
-        worker_id=held.worker_id,
-        attempt=held.attempt,
+        worker_id=attempt_record.worker_id,
+        attempt=attempt_record.attempt,
         need=amount,
         priority=_state.priority(record),
         preemptible=(
-            held.phase is not _state.Phase.CLAIMED
-            and is_preemptible(state, record, held.attempt.index)
+            attempt_record.phase is not _state.Phase.CLAIMED
+            and is_preemptible(state, record, attempt_record.attempt.index)
         ),
         checkpoint=policy.checkpoint,
         throttle=policy.throttle,
         urgent=record.job.urgent,
-        expected_end=held.started_at + record.run_s,
-        reclaimed=held.reclaimed,
-        started=held.started_at,
+        expected_end=attempt_record.started_at + record.run_s,
+        reclaimed=attempt_record.reclaimed,
+        started=attempt_record.started_at,
     )
 
 
@@ -164,8 +164,8 @@
 ) -> _state.AttemptRecord:
     """Take over an attempt that a worker reports as running."""
     policy = _state.class_config(state, record.job)
-    _backlog.estimate(state, record)
-    held = _state.AttemptRecord(
+    _backlog.update_estimate(state, record)
+    attempt_record = _state.AttemptRecord(
         attempt=report.attempt,
         worker_id=worker_id,
         phase=_state.Phase.RUNNING,
@@ -185,18 +185,18 @@
         checkpoint=policy.checkpoint,
         throttle=policy.throttle,
         urgent=record.job.urgent,
-        expected_end=held.started_at + record.run_s,
-        started=held.started_at,
+        expected_end=attempt_record.started_at + record.run_s,
+        started=attempt_record.started_at,
     )
-    drop_assumed(state, record, 1)
-    _register(state, record, held)
+    release_assumed(state, record, 1)
+    _register(state, record, attempt_record)
     state.workers[worker_id].attempts[report.attempt] = None
     record.numbers[report.attempt.index] = report.attempt.number
     record.state = model.JobState.RUNNING
-    return held
+    return attempt_record
 
 
-def hold_stray(
+def stop_orphan(
     state: _state.PoolState,
     worker_id: str,
     report: model.AttemptReport,
@@ -213,49 +213,49 @@
         )
         return
     record = state.jobs.get(attempt.job_id)
-    held = _state.AttemptRecord(
+    attempt_record = _state.AttemptRecord(
         attempt=attempt,
         worker_id=worker_id,
         phase=_state.Phase.ENDING,
         need=report.resources,
         team="" if record is None else record.job.team,
-        stray=True,
+        orphaned=True,
         started_at=now - report.run_s,
         confirmed_at=now,
     )
     if record is not None:
-        drop_assumed(state, record, 1)
+        release_assumed(state, record, 1)
     placement.adopt(
         state.cell,
         worker_id=worker_id,
         attempt=attempt,
-        need=held.need,
+        need=attempt_record.need,
         priority=0,
         preemptible=False,
         checkpoint=False,
         throttle=False,
         urgent=False,
         expected_end=now,
-        started=held.started_at,
+        started=attempt_record.started_at,
     )
-    queueing.acquire(state.quota, held.team, held.need)
-    state.attempts[attempt] = held
+    queueing.acquire(state.quota, attempt_record.team, attempt_record.need)
+    state.attempts[attempt] = attempt_record
     state.workers[worker_id].attempts[attempt] = None
     state.ending.add(attempt)
-    send_stop(state, held, now, out)
+    send_stop(state, attempt_record, now, out)
 
 
-def assume(
+def assume_running(
     state: _state.PoolState, record: _state.JobRecord, count: int
 ) -> None:
     """Count tasks that may run unreported against their team's quota."""
     record.assumed = count
     queueing.acquire(
-        state.quota, record.job.team, _times(record.job.resources, count)
+        state.quota, record.job.team, _scale(record.job.resources, count)
     )
 
 
-def drop_assumed(
+def release_assumed(
     state: _state.PoolState, record: _state.JobRecord, count: int
 ) -> None:
     """Count tasks no more that may run unreported."""
@@ -263,32 +263,34 @@
     if count:
         record.assumed -= count
         _release_quota(
-            state, record.job.team, _times(record.job.resources, count)
+            state, record.job.team, _scale(record.job.resources, count)
         )
 
 
 def send_start(
-    state: _state.PoolState, held: _state.AttemptRecord, out: list[object]
+    state: _state.PoolState,
+    attempt_record: _state.AttemptRecord,
+    out: list[object],
 ) -> None:
     """Send the start of an attempt, for the first time or again."""
-    held.tries += 1
-    held.in_flight = True
-    held.lease_s = lease_s(state)
-    record = state.jobs[held.attempt.job_id]
+    attempt_record.starts_sent += 1
+    attempt_record.in_flight = True
+    attempt_record.lease_s = lease_s(state)
+    record = state.jobs[attempt_record.attempt.job_id]
     out.append(
         _messages.StartTask(
-            worker_id=held.worker_id,
-            attempt=held.attempt,
-            resources=held.need,
+            worker_id=attempt_record.worker_id,
+            attempt=attempt_record.attempt,
+            resources=attempt_record.need,
             payload=record.job.payload,
-            lease_s=held.lease_s,
+            lease_s=attempt_record.lease_s,
         )
     )
 
 
 def stop(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     now: float,
     out: list[object],
     *,
@@ -299,83 +301,94 @@
     Its capacity stays reserved until the worker confirms its end or its lease
     has expired.
     """
-    if held.phase is not _state.Phase.ENDING:
-        held.phase = _state.Phase.ENDING
-        held.checkpoint = checkpoint
-        state.ending.add(held.attempt)
-    send_stop(state, held, now, out)
+    if attempt_record.phase is not _state.Phase.ENDING:
+        attempt_record.phase = _state.Phase.ENDING
+        attempt_record.checkpoint = checkpoint
+        state.ending.add(attempt_record.attempt)
+    send_stop(state, attempt_record, now, out)
 
 
 def send_stop(
     state: _state.PoolState,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
     now: float,
     out: list[object],
 ) -> None:
     """Send the stop of an ending attempt unless one was just sent."""
-    if now < held.stop_sent_at + STOP_RETRY_S:
+    if now < attempt_record.stop_sent_at + STOP_RETRY_S:
         return
-    held.stop_sent_at = now
+    attempt_record.stop_sent_at = now
     out.append(
         _messages.StopTask(
-            worker_id=held.worker_id,
-            attempt=held.attempt,
-            checkpoint=held.checkpoint,
+            worker_id=attempt_record.worker_id,
+            attempt=attempt_record.attempt,
+            checkpoint=attempt_record.checkpoint,
         )
     )
-    _timers.schedule(state, now + STOP_RETRY_S, "stop", held.attempt)
+    _timers.schedule(state, now + STOP_RETRY_S, "stop", attempt_record.attempt)
 
 
-def release(state: _state.PoolState, held: _state.AttemptRecord) -> None:
+def release(
+    state: _state.PoolState, attempt_record: _state.AttemptRecord
+) -> None:
     """Give back what an attempt held, once it certainly runs no more."""
-    attempt = held.attempt
+    attempt = attempt_record.attempt
     placement.release(state.cell, attempt)
-    _release_quota(state, held.team, held.need)
-    if held.long:
-        state.long_held = model.subtract(state.long_held, held.need)
+    _release_quota(state, attempt_record.team, attempt_record.need)
+    if attempt_record.long:
+        state.long_reserved = model.subtract(
+            state.long_reserved, attempt_record.need
+        )
     del state.attempts[attempt]
     state.ending.discard(attempt)
     state.claims.pop(attempt, None)
-    state.freed[held.worker_id] = None
-    worker = state.workers.get(held.worker_id)
+    state.freed[attempt_record.worker_id] = None
+    worker = state.workers.get(attempt_record.worker_id)
     if worker is not None:
         worker.attempts.pop(attempt, None)
         worker.claims.pop(attempt, None)
-    if held.stray:
+    if attempt_record.orphaned:
         return
     record = state.jobs[attempt.job_id]
     del record.live[attempt.index]
     if worker is not None:
-        _count_spread(record, worker.instance, -1)
+        _update_spread(record, worker.instance, -1)
     if _state.is_open(record):
         state.waiting_tasks += 1
 
 
 def expires_at(
-    held: _state.AttemptRecord, worker: _state.WorkerRecord | None
+    attempt_record: _state.AttemptRecord, worker: _state.WorkerRecord | None
 ) -> float:
     """Return when an attempt has certainly lapsed; infinite if unknown."""
-    if held.phase is _state.Phase.CLAIMED or held.in_flight:
+    if (
+        attempt_record.phase is _state.Phase.CLAIMED
+        or attempt_record.in_flight
+    ):
         return math.inf
     if worker is None:
-        return held.expires_at
-    return max(held.expires_at, worker.expires_at, worker.sync_expires_at)
+        return attempt_record.expires_at
+    return max(
+        attempt_record.expires_at, worker.expires_at, worker.sync_expires_at
+    )
 
 
 def _register(
     state: _state.PoolState,
     record: _state.JobRecord,
-    held: _state.AttemptRecord,
+    attempt_record: _state.AttemptRecord,
 ) -> None:
     """Enter an attempt into the indexes."""
-    attempt = held.attempt
-    state.attempts[attempt] = held
+    attempt = attempt_record.attempt
+    state.attempts[attempt] = attempt_record
     record.live[attempt.index] = attempt
     state.waiting_tasks -= 1
-    _count_spread(record, state.workers[held.worker_id].instance, 1)
-    queueing.acquire(state.quota, record.job.team, held.need)
-    if held.long:
-        state.long_held = model.add(state.long_held, held.need)
+    _update_spread(record, state.workers[attempt_record.worker_id].instance, 1)
+    queueing.acquire(state.quota, record.job.team, attempt_record.need)
+    if attempt_record.long:
+        state.long_reserved = model.add(
+            state.long_reserved, attempt_record.need
+        )
 
 
 def _release_quota(
@@ -384,11 +397,11 @@
     """Take an amount off what a team holds; it may have had no more room."""
     queueing.release(state.quota, team, amount)
     if queueing.unblock_team(state.queue, team):
-        state.stuck.clear()
+        state.blocked_lanes.clear()
         state.dirty = True
 
 
-def _times(need: model.Resources, count: int) -> model.Resources:
+def _scale(need: model.Resources, count: int) -> model.Resources:
     """Return a need taken several times."""
     return model.Resources(
         cpu_millis=need.cpu_millis * count,
@@ -397,7 +410,7 @@
     )
 
 
-def _count_spread(
+def _update_spread(
     record: _state.JobRecord, instance: model.Instance, change: int
 ) -> None:
     """Add to the counts of where the live attempts of a job are."""
@@ -405,12 +418,12 @@
         return
     counts = record.spread
     rack = (instance.data_centre, instance.rack)
-    _add(counts.workers, instance.instance_id, change)
-    _add(counts.racks, rack, change)
-    _add(counts.data_centres, instance.data_centre, change)
+    _adjust_count(counts.workers, instance.instance_id, change)
+    _adjust_count(counts.racks, rack, change)
+    _adjust_count(counts.data_centres, instance.data_centre, change)
 
 
-def _add(counts: dict, key: object, change: int) -> None:
+def _adjust_count(counts: dict, key: object, change: int) -> None:
     """Add to a counter; a counter of 0 is removed."""
     count = counts.get(key, 0) + change
     if count > 0:
--- a/chestnuttide/jobs/_snapshot.py
+++ b/chestnuttide/jobs/_snapshot.py
@@ -100,10 +100,10 @@
     open jobs are not yet sorted into places.
     """
     replay = None
-    highest = -1
+    last_generation = -1
     if snapshot:
         stream = io.BytesIO(snapshot)
-        _, at, highest, estimates = cbor2.load(stream)
+        _, at, last_generation, estimates = cbor2.load(stream)
         replay = _Replay(last_at=at)
         while stream.tell() < len(snapshot):
             for fields in cbor2.load(stream):
@@ -115,23 +115,23 @@
         if replay is None:
             replay = _Replay(last_at=at)
         if tag == _events.OWNER:
-            highest = max(highest, fields[0])
+            last_generation = max(last_generation, fields[0])
             replay.offset += replay.last_at - at
         replay.last_at = at
-        highest = max(highest, 0)
+        last_generation = max(last_generation, 0)
         _apply(state, tag, fields, at + replay.offset)
-    state.generation = highest + 1
+    state.generation = last_generation + 1
     if replay is None:
         return
-    shift = now - (replay.last_at + replay.offset)
+    clock_shift = now - (replay.last_at + replay.offset)
     ended = []
     for record in state.jobs.values():
-        record.entered_at += shift
+        record.entered_at += clock_shift
         if _state.is_open(record):
             record.settled = False
             state.waiting_tasks += record.job.tasks - record.done_count
         else:
-            record.ended_at = min(now, record.ended_at + shift)
+            record.ended_at = min(now, record.ended_at + clock_shift)
             ended.append((record.ended_at, record.job.job_id))
     state.ended.extend(sorted(ended))
 
@@ -192,16 +192,16 @@
     if record is None or not _state.is_open(record):
         return
     if tag == _events.CANCELLED:
-        _end(record, model.JobState.CANCELLED, "cancelled", at)
+        _end_job(record, model.JobState.CANCELLED, "cancelled", at)
     elif tag == _events.JOB_STARTED:
         record.state = model.JobState.RUNNING
     elif tag == _events.JOB_ENDED:
-        _end(record, model.JobState(fields[1]), fields[2], at)
+        _end_job(record, model.JobState(fields[1]), fields[2], at)
     elif tag == _events.TASK_ENDED:
         _apply_task_end(record, fields)
 
 
-def _end(
+def _end_job(
     record: _state.JobRecord,
     job_state: model.JobState,
     reason: str,
@@ -229,4 +229,4 @@
     if result == model.TaskState.SUCCEEDED:
         _state.set_done(record, index)
     elif result == model.TaskState.FAILED:
-        _outcomes.count_failure(record, index, worker_id)
+        _outcomes.record_failure(record, index, worker_id)
--- a/chestnuttide/jobs/_state.py
+++ b/chestnuttide/jobs/_state.py
@@ -14,15 +14,15 @@
 
 # Drift of a worker's clock that is allowed for: a lease counts as expired
 # only 10% after its end.
-LEASE_MARGIN = 1.1
+LEASE_MARGIN_RATIO = 1.1
 
 # Attempt numbers of each owner start in a range of their own, so that an
 # attempt that an earlier owner started and nobody reported cannot share its
 # number with a new one.
-NUMBER_STRIDE = 1 << 20
+ATTEMPT_NUMBER_STRIDE = 1 << 20
 
 # Syncs in a row without an answer after which a worker gets no new work.
-MAX_FAILURES = 2
+MAX_SYNC_FAILURES = 2
 
 _DEFAULT_CLASS = config.ClassConfig()
 
@@ -91,7 +91,7 @@
     phase: Phase
     need: model.Resources
     team: str
-    stray: bool = False
+    orphaned: bool = False
     long: bool = False
     cost: float = 0.0
     started_at: float = 0.0
@@ -99,7 +99,7 @@
     lease_s: float = 0.0
     in_flight: bool = False
     in_doubt: bool = False
-    tries: int = 0
+    starts_sent: int = 0
     confirmed_at: float = math.inf
     stop_sent_at: float = -math.inf
     checkpoint: bool = False
@@ -110,9 +110,10 @@
 class JobRecord:
     """One job and the state of its tasks.
 
-    Each task is in exactly one place: not started (`fresh` and above),
-    `waiting`, `delayed`, `live` or done. The tasks of a recovered job are
-    sorted into these only once all workers have reported.
+    Each task is in exactly one state: never started (indexes from
+    `first_unstarted` on), `waiting`, `delayed`, `live` or done. The tasks of
+    a recovered job are assigned to these states only once all workers have
+    reported.
 
     Attributes
     ----------
@@ -175,7 +176,7 @@
     reason: str = ""
     durable: bool = False
     settled: bool = True
-    fresh: int = 0
+    first_unstarted: int = 0
     waiting: dict[int, None] = attrs.field(factory=dict)
     delayed: set[int] = attrs.field(factory=set)
     live: dict[int, model.Attempt] = attrs.field(factory=dict)
@@ -186,7 +187,7 @@
     restarts: int = 0
     gang_serial: int = 0
     aborting: bool = False
-    hold_after: float = -math.inf
+    next_reservation_at: float = -math.inf
     spread: placement.SpreadCounts = attrs.field(
         factory=placement.SpreadCounts
     )
@@ -238,10 +239,10 @@
     sync_expires_at: float = -math.inf
     sync_lease_s: float = 0.0
     failures: int = 0
-    doubts: int = 0
+    uncertain_failures: int = 0
     avoided_until: float = -math.inf
     allows_overcommit: bool = True
-    lapse_timer: bool = False
+    lease_check_scheduled: bool = False
     claims: dict[model.Attempt, None] = attrs.field(factory=dict)
 
 
@@ -348,9 +349,9 @@
     jobs: dict[str, JobRecord] = attrs.field(factory=dict)
     attempts: dict[model.Attempt, AttemptRecord] = attrs.field(factory=dict)
     workers: dict[str, WorkerRecord] = attrs.field(factory=dict)
-    shut: set[str] = attrs.field(factory=set)
+    unavailable: set[str] = attrs.field(factory=set)
     waiting_tasks: int = 0
-    long_held: model.Resources = model.ZERO
+    long_reserved: model.Resources = model.ZERO
     ending: set[model.Attempt] = attrs.field(factory=set)
     claims: dict[model.Attempt, float] = attrs.field(factory=dict)
     freed: dict[str, None] = attrs.field(factory=dict)
@@ -367,10 +368,10 @@
         factory=collections.deque
     )
     dirty: bool = False
-    stuck: dict[str, model.Resources] = attrs.field(factory=dict)
+    blocked_lanes: dict[str, model.Resources] = attrs.field(factory=dict)
     refreshed_at: float = -math.inf
-    gang_plan_at: float = -math.inf
-    relief_at: float = -math.inf
+    next_gang_plan_at: float = -math.inf
+    next_relief_at: float = -math.inf
     generation: int = 0
     ready: bool = True
     settled: bool = True
@@ -432,7 +433,7 @@
 
 def pending(record: JobRecord) -> int:
     """Return the number of tasks that could start now."""
-    return record.job.tasks - record.fresh + len(record.waiting)
+    return record.job.tasks - record.first_unstarted + len(record.waiting)
 
 
 def priority(record: JobRecord) -> int:
@@ -445,19 +446,21 @@
 def capacity_changed(state: PoolState) -> None:
     """Note that waiting work may fit now."""
     state.dirty = True
-    state.stuck.clear()
+    state.blocked_lanes.clear()
 
 
-def update_shut(state: PoolState, worker: WorkerRecord, now: float) -> None:
+def update_availability(
+    state: PoolState, worker: WorkerRecord, now: float
+) -> None:
     """Open or shut a worker for new work by what is known about it."""
     worker_id = worker.instance.instance_id
     if (
         worker.reported
-        and worker.failures < MAX_FAILURES
+        and worker.failures < MAX_SYNC_FAILURES
         and now >= worker.avoided_until
     ):
-        if worker_id in state.shut:
-            state.shut.discard(worker_id)
+        if worker_id in state.unavailable:
+            state.unavailable.discard(worker_id)
             capacity_changed(state)
     else:
-        state.shut.add(worker_id)
+        state.unavailable.add(worker_id)
--- a/chestnuttide/jobs/_timers.py
+++ b/chestnuttide/jobs/_timers.py
@@ -16,7 +16,7 @@
     heapq.heappush(state.timers, (at, state.timer_serial, kind, arguments))
 
 
-def take_due(state: _state.PoolState, now: float) -> list[tuple[str, tuple]]:
+def pop_due(state: _state.PoolState, now: float) -> list[tuple[str, tuple]]:
     """Remove and return due timers, oldest first, up to the limit."""
     due = []
     while (
--- a/chestnuttide/jobs/tests/_pool.py
+++ b/chestnuttide/jobs/tests/_pool.py
@@ -6,7 +6,7 @@
 
 from chestnuttide import config
 from chestnuttide import jobs
-from chestnuttide.jobs.tests import _world
+from chestnuttide.jobs.tests import _simulation
 from chestnuttide import model
 
 CAPACITY = model.Resources(cpu_millis=4000, memory_mb=8000, accelerators=2)
@@ -49,7 +49,7 @@
         pool,
         jobs.WorkersChanged(
             instances=tuple(
-                _world.make_instance(f"w{number}", CAPACITY)
+                _simulation.make_instance(f"w{number}", CAPACITY)
                 for number in range(workers)
             )
         ),
@@ -76,7 +76,7 @@
     return outputs
 
 
-def wait(pool: Pool, seconds: float) -> list[object]:
+def advance(pool: Pool, seconds: float) -> list[object]:
     """Let time pass in ticks."""
     outputs = []
     until = pool.now + seconds
@@ -109,7 +109,7 @@
     return starts
 
 
-def answer(
+def answer_start(
     pool: Pool,
     start: jobs.StartTask,
     outcome: jobs.StartOutcome = jobs.StartOutcome.STARTED,
@@ -125,11 +125,11 @@
     )
 
 
-def start_all(pool: Pool) -> list[jobs.StartTask]:
+def confirm_starts(pool: Pool) -> list[jobs.StartTask]:
     """Confirm all starts that were sent."""
     starts = take_starts(pool)
     for start in starts:
-        answer(pool, start)
+        answer_start(pool, start)
     return starts
 
 
@@ -162,5 +162,5 @@
     )
 
 
-def of_kind(outputs: list[object], kind: type) -> list:
+def filter_by_type(outputs: list[object], kind: type) -> list:
     return [output for output in outputs if isinstance(output, kind)]
--- a/chestnuttide/jobs/tests/_world.py
+++ b/chestnuttide/jobs/tests/_simulation.py
@@ -17,8 +17,8 @@
 from chestnuttide import model
 from chestnuttide import placement
 
-HELD_UP_SHARE = 0.05
-HELD_UP_S = 20.0
+DELAYED_START_SHARE = 0.05
+MAX_START_DELAY_S = 20.0
 TIMEOUT_S = 0.5
 SYNC_S = 1.0
 TICK_S = 0.1
@@ -27,10 +27,10 @@
 @attrs.define(kw_only=True, eq=False)
 class Task:
     resources: model.Resources
-    started: float
-    ends: float
+    started_at: float
+    ends_at: float
     result: model.TaskState
-    lease_until: float
+    lease_expires_at: float
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -39,7 +39,7 @@
     epoch: int = 0
     tasks: dict[model.Attempt, Task] = attrs.field(factory=dict)
     ended: dict[model.Attempt, model.AttemptReport] = attrs.field(factory=dict)
-    cut_until: float = 0.0
+    partitioned_until: float = 0.0
     starts_lost_until: float = 0.0
     answers_lost_until: float = 0.0
     fails_all: bool = False
@@ -57,7 +57,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class World:
+class Simulation:
     document: config.CellConfig
     rng: random.Random
     now: float = 100.0
@@ -66,8 +66,10 @@
     epoch: int = 0
     journal: list[bytes] = attrs.field(factory=list)
     snapshot: bytes = b""
-    calls: list[tuple[float, int, object]] = attrs.field(factory=list)
-    serial: int = 0
+    scheduled_calls: list[tuple[float, int, object]] = attrs.field(
+        factory=list
+    )
+    call_serial: int = 0
     answers: dict[object, object] = attrs.field(factory=dict)
     outputs: list[object] = attrs.field(factory=list)
     submitted: dict[str, model.Job] = attrs.field(factory=dict)
@@ -95,136 +97,151 @@
     )
 
 
-def make_world(
+def make_simulation(
     document: config.CellConfig,
     capacities: list[model.Resources],
     seed: int = 1,
-) -> World:
-    world = World(document=document, rng=random.Random(seed))
+) -> Simulation:
+    simulation = Simulation(document=document, rng=random.Random(seed))
     for number, capacity in enumerate(capacities):
         worker_id = f"w{number}"
-        world.workers[worker_id] = Worker(
+        simulation.workers[worker_id] = Worker(
             instance=make_instance(worker_id, capacity)
         )
-    take_over(world)
-    return world
+    take_over(simulation)
+    return simulation
 
 
-def at(world: World, delay_s: float, call: object) -> None:
-    world.serial += 1
-    heapq.heappush(world.calls, (world.now + delay_s, world.serial, call))
+def call_later(simulation: Simulation, delay_s: float, call: object) -> None:
+    simulation.call_serial += 1
+    heapq.heappush(
+        simulation.scheduled_calls,
+        (simulation.now + delay_s, simulation.call_serial, call),
+    )
 
 
-def run_for(world: World, seconds: float) -> None:
-    until = world.now + seconds
-    while world.calls and world.calls[0][0] <= until:
-        world.now, _, call = heapq.heappop(world.calls)
+def run_for(simulation: Simulation, seconds: float) -> None:
+    until = simulation.now + seconds
+    while (
+        simulation.scheduled_calls
+        and simulation.scheduled_calls[0][0] <= until
+    ):
+        simulation.now, _, call = heapq.heappop(simulation.scheduled_calls)
         call()
-    world.now = until
+    simulation.now = until
 
 
-def take_over(world: World) -> Owner:
+def take_over(simulation: Simulation) -> Owner:
     """Start a new owner; calls of the old one no longer reach it."""
-    if world.owner is not None:
-        world.owner.alive = False
-    world.epoch += 1
+    if simulation.owner is not None:
+        simulation.owner.alive = False
+    simulation.epoch += 1
     state = jobs.PoolState(
-        document=world.document, rng=random.Random(world.rng.random())
+        document=simulation.document,
+        rng=random.Random(simulation.rng.random()),
     )
     owner = Owner(
         state=state,
         run=jobs.make_pool_filter(state=state),
-        epoch=world.epoch,
+        epoch=simulation.epoch,
     )
-    world.owner = owner
+    simulation.owner = owner
     send(
-        world,
+        simulation,
         owner,
         jobs.Recovered(
-            snapshot=world.snapshot, events=tuple(world.journal), clean=False
+            snapshot=simulation.snapshot,
+            events=tuple(simulation.journal),
+            clean=False,
         ),
     )
-    instances = tuple(w.instance for w in world.workers.values())
-    send(world, owner, jobs.WorkersChanged(instances=instances))
-    for worker_id in world.workers:
-        at(
-            world,
-            world.rng.uniform(0.01, 0.1),
-            lambda worker_id=worker_id: _sync(world, owner, worker_id),
+    instances = tuple(w.instance for w in simulation.workers.values())
+    send(simulation, owner, jobs.WorkersChanged(instances=instances))
+    for worker_id in simulation.workers:
+        call_later(
+            simulation,
+            simulation.rng.uniform(0.01, 0.1),
+            lambda worker_id=worker_id: _sync(simulation, owner, worker_id),
         )
-    at(world, TICK_S, lambda: _tick(world, owner))
+    call_later(simulation, TICK_S, lambda: _tick(simulation, owner))
     return owner
 
 
-def take_snapshot(world: World) -> None:
+def take_snapshot(simulation: Simulation) -> None:
     """Store a snapshot and drop the events that it covers."""
-    owner = world.owner
+    owner = simulation.owner
     if owner is None or not owner.alive or owner.buffer:
         return
-    world.snapshot = jobs.encode_snapshot(owner.state, world.now)
-    world.journal.clear()
+    simulation.snapshot = jobs.encode_snapshot(owner.state, simulation.now)
+    simulation.journal.clear()
 
 
-def crash_worker(world: World, worker_id: str) -> None:
+def crash_worker(simulation: Simulation, worker_id: str) -> None:
     """Lose all tasks of a worker, which comes back at once."""
-    worker = world.workers[worker_id]
+    worker = simulation.workers[worker_id]
     worker.tasks.clear()
     worker.ended.clear()
 
 
-def remove_worker(world: World, worker_id: str) -> None:
+def remove_worker(simulation: Simulation, worker_id: str) -> None:
     """Let a worker go for good."""
-    crash_worker(world, worker_id)
-    worker = world.workers[worker_id]
-    worker.cut_until = float("inf")
+    crash_worker(simulation, worker_id)
+    worker = simulation.workers[worker_id]
+    worker.partitioned_until = float("inf")
     worker.instance = attrs.evolve(
         worker.instance, state=model.InstanceState.GONE
     )
-    send(world, world.owner, jobs.WorkersChanged(instances=(worker.instance,)))
+    send(
+        simulation,
+        simulation.owner,
+        jobs.WorkersChanged(instances=(worker.instance,)),
+    )
 
 
-def submit(world: World, job: model.Job) -> None:
-    world.submitted[job.job_id] = job
-    send(world, world.owner, jobs.SubmitJob(token=job.job_id, job=job))
+def submit(simulation: Simulation, job: model.Job) -> None:
+    simulation.submitted[job.job_id] = job
+    send(
+        simulation, simulation.owner, jobs.SubmitJob(token=job.job_id, job=job)
+    )
 
 
-def cancel(world: World, job_id: str) -> None:
+def cancel(simulation: Simulation, job_id: str) -> None:
     send(
-        world,
-        world.owner,
+        simulation,
+        simulation.owner,
         jobs.CancelJob(token=("cancel", job_id), job_id=job_id),
     )
 
 
-def read(world: World, job_id: str) -> jobs.JobView | None:
-    return jobs.read_job(world.owner.state, job_id, world.now)
+def read(simulation: Simulation, job_id: str) -> jobs.JobView | None:
+    return jobs.read_job(simulation.owner.state, job_id, simulation.now)
 
 
-def live_attempts(world: World) -> list[model.Attempt]:
+def live_attempts(simulation: Simulation) -> list[model.Attempt]:
     found = []
-    for worker in world.workers.values():
-        expire(world, worker)
+    for worker in simulation.workers.values():
+        expire(simulation, worker)
         found.extend(worker.tasks)
     return found
 
 
-def send(world: World, owner: Owner, message: object) -> None:
+def send(simulation: Simulation, owner: Owner, message: object) -> None:
     if not owner.alive:
         return
-    for output in owner.run(message, world.now):
-        world.outputs.append(output)
-        _carry_out(world, owner, output)
+    for output in owner.run(message, simulation.now):
+        simulation.outputs.append(output)
+        _execute(simulation, owner, output)
 
 
-def expire(world: World, worker: Worker) -> None:
+def expire(simulation: Simulation, worker: Worker) -> None:
     """End the tasks that are over or whose lease ran out."""
     for attempt, task in list(worker.tasks.items()):
-        over = min(task.ends, task.lease_until)
-        if over <= world.now:
+        ended_at = min(task.ends_at, task.lease_expires_at)
+        if ended_at <= simulation.now:
             result = task.result
-            if task.lease_until < task.ends:
+            if task.lease_expires_at < task.ends_at:
                 result = model.TaskState.LAPSED
-            _end(world, worker, attempt, result, over)
+            _end(simulation, worker, attempt, result, ended_at)
 
 
 def check_state(state: jobs.PoolState) -> None:
@@ -244,7 +261,7 @@
             and record.done[index // 8] >> index % 8 & 1
         }
         places = [
-            set(range(record.fresh, record.job.tasks)),
+            set(range(record.first_unstarted, record.job.tasks)),
             set(record.waiting),
             record.delayed,
             set(record.live),
@@ -258,97 +275,102 @@
             gang = record.job.kind is model.JobKind.GANG
             assert queued or (gang and (record.live or record.delayed))
     assert waiting == state.waiting_tasks
-    held = {}
+    team_usage = {}
     for record in state.jobs.values():
         for _ in range(record.assumed):
             team = record.job.team
-            held[team] = model.add(
-                held.get(team, model.ZERO), record.job.resources
+            team_usage[team] = model.add(
+                team_usage.get(team, model.ZERO), record.job.resources
             )
     for attempt, record in state.attempts.items():
-        if not record.stray:
+        if not record.orphaned:
             assert state.jobs[attempt.job_id].live[attempt.index] == attempt
         team = record.team
-        held[team] = model.add(held.get(team, model.ZERO), record.need)
+        team_usage[team] = model.add(
+            team_usage.get(team, model.ZERO), record.need
+        )
         if record.phase.value != "claimed":
             reservation = placement.reservation_of(state.cell, attempt)
             assert reservation is not None
             assert reservation.need == record.need
-    assert held == state.quota.held
+    assert team_usage == state.quota.held
 
 
-def _tick(world: World, owner: Owner) -> None:
+def _tick(simulation: Simulation, owner: Owner) -> None:
     if not owner.alive:
         return
-    send(world, owner, jobs.Tick())
+    send(simulation, owner, jobs.Tick())
     check_state(owner.state)
-    _watch_gangs(world)
-    at(world, TICK_S, lambda: _tick(world, owner))
+    _track_partial_gangs(simulation)
+    call_later(simulation, TICK_S, lambda: _tick(simulation, owner))
 
 
-def _watch_gangs(world: World) -> None:
+def _track_partial_gangs(simulation: Simulation) -> None:
     live: dict[str, int] = {}
-    for attempt in live_attempts(world):
+    for attempt in live_attempts(simulation):
         live[attempt.job_id] = live.get(attempt.job_id, 0) + 1
-    for job_id, job in world.submitted.items():
+    for job_id, job in simulation.submitted.items():
         if job.kind is not model.JobKind.GANG:
             continue
         done = sum(
-            (job_id, index) in world.succeeded for index in range(job.tasks)
+            (job_id, index) in simulation.succeeded
+            for index in range(job.tasks)
         )
         if 0 < live.get(job_id, 0) < job.tasks - done:
-            since = world.partial_since.setdefault(job_id, world.now)
-            world.longest_partial_s = max(
-                world.longest_partial_s, world.now - since
+            since = simulation.partial_since.setdefault(job_id, simulation.now)
+            simulation.longest_partial_s = max(
+                simulation.longest_partial_s, simulation.now - since
             )
         else:
-            world.partial_since.pop(job_id, None)
+            simulation.partial_since.pop(job_id, None)
 
 
-def _carry_out(world: World, owner: Owner, output: object) -> None:
+def _execute(simulation: Simulation, owner: Owner, output: object) -> None:
     match output:
         case jobs.StartTask():
-            _send_start(world, owner, output)
+            _send_start(simulation, owner, output)
         case jobs.StopTask():
-            at(
-                world,
-                world.rng.uniform(0.001, 0.05),
-                lambda: _stop(world, owner, output),
+            call_later(
+                simulation,
+                simulation.rng.uniform(0.001, 0.05),
+                lambda: _stop(simulation, owner, output),
             )
         case jobs.AppendEvent():
             owner.buffer.append((output.token, output.event))
             if not owner.flushing:
                 owner.flushing = True
-                at(
-                    world,
-                    world.rng.uniform(0.005, 0.05),
-                    lambda: _flush(world, owner),
+                call_later(
+                    simulation,
+                    simulation.rng.uniform(0.005, 0.05),
+                    lambda: _flush(simulation, owner),
                 )
         case jobs.AcknowledgeEnd():
             owner.acknowledged.setdefault(output.worker_id, set()).add(
                 output.attempt
             )
         case jobs.JobAccepted() | jobs.JobRefused() | jobs.JobCancelled():
-            world.answers[output.token] = output
+            simulation.answers[output.token] = output
 
 
-def _flush(world: World, owner: Owner) -> None:
+def _flush(simulation: Simulation, owner: Owner) -> None:
     owner.flushing = False
     if not owner.alive:
         return
     batch, owner.buffer = owner.buffer, []
-    world.journal.extend(event for _, event in batch)
+    simulation.journal.extend(event for _, event in batch)
     tokens = tuple(token for token, _ in batch)
-    send(world, owner, jobs.JournalDurable(tokens=tokens))
+    send(simulation, owner, jobs.JournalDurable(tokens=tokens))
 
 
-def _send_start(world: World, owner: Owner, start: jobs.StartTask) -> None:
-    worker = world.workers[start.worker_id]
-    sent_at = world.now
+def _send_start(
+    simulation: Simulation, owner: Owner, start: jobs.StartTask
+) -> None:
+    worker = simulation.workers[start.worker_id]
+    sent_at = simulation.now
 
     def answer(outcome: jobs.StartOutcome) -> None:
         send(
-            world,
+            simulation,
             owner,
             jobs.StartResult(
                 worker_id=start.worker_id,
@@ -359,34 +381,38 @@
         )
 
     def deliver() -> None:
-        outcome = _start(world, owner, worker, start, sent_at)
-        if world.now < max(worker.cut_until, worker.answers_lost_until):
+        outcome = _start(simulation, owner, worker, start, sent_at)
+        if simulation.now < max(
+            worker.partitioned_until, worker.answers_lost_until
+        ):
             return
         answered.append(outcome)
-        at(world, 0.001, lambda: answer(outcome))
+        call_later(simulation, 0.001, lambda: answer(outcome))
 
     def give_up() -> None:
         if not answered:
             answer(jobs.StartOutcome.UNANSWERED)
 
     answered: list[jobs.StartOutcome] = []
-    lost = sent_at < max(worker.cut_until, worker.starts_lost_until)
+    lost = sent_at < max(worker.partitioned_until, worker.starts_lost_until)
     if not lost:
         # An agent that was paused takes starts out of its buffer late.
-        held_up = world.rng.random() < HELD_UP_SHARE
-        longest_s = HELD_UP_S if held_up else 0.3
-        at(world, world.rng.uniform(0.001, longest_s), deliver)
-    at(world, TIMEOUT_S, give_up)
+        is_delayed = simulation.rng.random() < DELAYED_START_SHARE
+        longest_s = MAX_START_DELAY_S if is_delayed else 0.3
+        call_later(
+            simulation, simulation.rng.uniform(0.001, longest_s), deliver
+        )
+    call_later(simulation, TIMEOUT_S, give_up)
 
 
 def _start(
-    world: World,
+    simulation: Simulation,
     owner: Owner,
     worker: Worker,
     start: jobs.StartTask,
     sent_at: float,
 ) -> jobs.StartOutcome:
-    expire(world, worker)
+    expire(simulation, worker)
     if owner.epoch < worker.epoch:
         return jobs.StartOutcome.STALE_EPOCH
     worker.epoch = owner.epoch
@@ -394,139 +420,146 @@
         return jobs.StartOutcome.RUNNING
     if start.attempt in worker.ended:
         return jobs.StartOutcome.ENDED
-    if world.now > sent_at + model.START_VALID_S + model.CLOCK_SKEW_S:
+    if simulation.now > sent_at + model.START_VALID_S + model.CLOCK_SKEW_S:
         return jobs.StartOutcome.EXPIRED
-    run_s, result = world.decide(world, start.attempt)
+    run_s, result = simulation.decide(simulation, start.attempt)
     if worker.fails_all:
         run_s, result = 0.2, model.TaskState.FAILED
-    _check_start(world, worker, start)
-    world.starts += 1
+    _check_start(simulation, worker, start)
+    simulation.starts += 1
     worker.tasks[start.attempt] = Task(
         resources=start.resources,
-        started=world.now,
-        ends=world.now + run_s,
+        started_at=simulation.now,
+        ends_at=simulation.now + run_s,
         result=result,
-        lease_until=world.now + start.lease_s,
+        lease_expires_at=simulation.now + start.lease_s,
     )
     return jobs.StartOutcome.STARTED
 
 
-def _check_start(world: World, worker: Worker, start: jobs.StartTask) -> None:
+def _check_start(
+    simulation: Simulation, worker: Worker, start: jobs.StartTask
+) -> None:
     """Check that a start keeps to the guarantees."""
     used = start.resources
     for task in worker.tasks.values():
         used = model.add(used, task.resources)
     assert model.fits(used, worker.instance.capacity), "capacity exceeded"
-    team = world.submitted[start.attempt.job_id].team
-    held = start.resources
-    for other in world.workers.values():
-        expire(world, other)
+    team = simulation.submitted[start.attempt.job_id].team
+    team_usage = start.resources
+    for other in simulation.workers.values():
+        expire(simulation, other)
         for attempt, task in other.tasks.items():
             assert (attempt.job_id, attempt.index) != (
                 start.attempt.job_id,
                 start.attempt.index,
             ), f"{attempt} and {start.attempt} run at once"
-            if world.submitted[attempt.job_id].team == team:
-                held = model.add(held, task.resources)
-    quota = world.document.teams[team].cpu_millis
-    assert not quota or held.cpu_millis <= quota, "quota exceeded"
+            if simulation.submitted[attempt.job_id].team == team:
+                team_usage = model.add(team_usage, task.resources)
+    quota = simulation.document.teams[team].cpu_millis
+    assert not quota or team_usage.cpu_millis <= quota, "quota exceeded"
 
 
-def _stop(world: World, owner: Owner, stop: jobs.StopTask) -> None:
-    worker = world.workers[stop.worker_id]
-    if world.now < worker.cut_until or owner.epoch < worker.epoch:
+def _stop(simulation: Simulation, owner: Owner, stop: jobs.StopTask) -> None:
+    worker = simulation.workers[stop.worker_id]
+    if simulation.now < worker.partitioned_until or owner.epoch < worker.epoch:
         return
     worker.epoch = owner.epoch
-    expire(world, worker)
+    expire(simulation, worker)
     if stop.attempt in worker.tasks:
         task = worker.tasks[stop.attempt]
         if stop.checkpoint:
-            task.ends = min(task.ends, world.now + 0.5)
+            task.ends_at = min(task.ends_at, simulation.now + 0.5)
             task.result = model.TaskState.STOPPED
         else:
             _end(
-                world,
+                simulation,
                 worker,
                 stop.attempt,
                 model.TaskState.STOPPED,
-                world.now,
+                simulation.now,
             )
 
 
 def _end(
-    world: World,
+    simulation: Simulation,
     worker: Worker,
     attempt: model.Attempt,
     result: model.TaskState,
-    over: float,
+    ended_at: float,
 ) -> None:
     task = worker.tasks.pop(attempt)
     if result is model.TaskState.SUCCEEDED:
         key = (attempt.job_id, attempt.index)
-        world.succeeded[key] = world.succeeded.get(key, 0) + 1
+        simulation.succeeded[key] = simulation.succeeded.get(key, 0) + 1
     worker.ended[attempt] = model.AttemptReport(
         attempt=attempt,
         state=result,
         resources=task.resources,
-        run_s=over - task.started,
+        run_s=ended_at - task.started_at,
     )
 
 
-def _sync(world: World, owner: Owner, worker_id: str) -> None:
+def _sync(simulation: Simulation, owner: Owner, worker_id: str) -> None:
     if not owner.alive:
         return
-    worker = world.workers[worker_id]
-    at(
-        world,
-        SYNC_S * world.rng.uniform(0.8, 1.2),
-        lambda: _sync(world, owner, worker_id),
+    worker = simulation.workers[worker_id]
+    call_later(
+        simulation,
+        SYNC_S * simulation.rng.uniform(0.8, 1.2),
+        lambda: _sync(simulation, owner, worker_id),
     )
     if not jobs.may_sync(owner.state, worker_id):
         return
-    sent_at = world.now
-    lease_s = world.document.pool.task_lease_s
-    send(world, owner, jobs.SyncSent(worker_id=worker_id, lease_s=lease_s))
+    sent_at = simulation.now
+    lease_s = simulation.document.pool.task_lease_s
+    send(
+        simulation, owner, jobs.SyncSent(worker_id=worker_id, lease_s=lease_s)
+    )
     acknowledged = owner.acknowledged.get(worker_id, set())
     answered: list[bool] = []
 
     def deliver() -> None:
-        if world.now < worker.cut_until or owner.epoch < worker.epoch:
+        if (
+            simulation.now < worker.partitioned_until
+            or owner.epoch < worker.epoch
+        ):
             return
         worker.epoch = owner.epoch
-        expire(world, worker)
+        expire(simulation, worker)
         for attempt in acknowledged:
             worker.ended.pop(attempt, None)
         for task in worker.tasks.values():
-            task.lease_until = world.now + lease_s
+            task.lease_expires_at = simulation.now + lease_s
         reports = [
             model.AttemptReport(
                 attempt=attempt,
                 state=model.TaskState.RUNNING,
                 resources=task.resources,
-                run_s=world.now - task.started,
+                run_s=simulation.now - task.started_at,
             )
             for attempt, task in worker.tasks.items()
         ]
         reports.extend(worker.ended.values())
-        if world.now < worker.answers_lost_until:
+        if simulation.now < worker.answers_lost_until:
             return
         answered.append(True)
         report = jobs.SyncReport(
             worker_id=worker_id, reports=tuple(reports), sent_at=sent_at
         )
-        at(world, 0.001, lambda: done(report))
+        call_later(simulation, 0.001, lambda: done(report))
 
     def done(report: jobs.SyncReport) -> None:
         owner.acknowledged.pop(worker_id, None)
-        send(world, owner, report)
+        send(simulation, owner, report)
 
     def give_up() -> None:
         if not answered:
             send(
-                world,
+                simulation,
                 owner,
                 jobs.SyncFailed(worker_id=worker_id, sent_at=sent_at),
             )
 
-    at(world, world.rng.uniform(0.001, 0.05), deliver)
-    at(world, TIMEOUT_S, give_up)
+    call_later(simulation, simulation.rng.uniform(0.001, 0.05), deliver)
+    call_later(simulation, TIMEOUT_S, give_up)
--- a/chestnuttide/jobs/tests/test_acceptance.py
+++ b/chestnuttide/jobs/tests/test_acceptance.py
@@ -59,11 +59,11 @@
     pool = _pool.make_pool()
     _pool.submit(pool, "known")
     outputs = _pool.submit(pool, **({"job_id": "new"} | changes))
-    (refused,) = _pool.of_kind(outputs, jobs.JobRefused)
+    (refused,) = _pool.filter_by_type(outputs, jobs.JobRefused)
     assert refused.error.reason == reason
     assert refused.error.run_state == errors.RunState.NOT_RUN
-    assert _pool.of_kind(outputs, jobs.Refused)[0].reason == reason
-    assert not _pool.of_kind(outputs, jobs.AppendEvent)
+    assert _pool.filter_by_type(outputs, jobs.Refused)[0].reason == reason
+    assert not _pool.filter_by_type(outputs, jobs.AppendEvent)
     if reason == Reason.DUPLICATE_ID:
         assert refused.error.details["state"] == "running"
 
@@ -83,26 +83,29 @@
     pool = _pool.make_pool()
     _pool.send(pool, message)
     outputs = _pool.submit(pool, "j")
-    assert _pool.of_kind(outputs, jobs.JobRefused)[0].error.reason == reason
+    assert (
+        _pool.filter_by_type(outputs, jobs.JobRefused)[0].error.reason
+        == reason
+    )
 
 
 def test_nothing_is_answered_or_started_before_it_is_durable() -> None:
     pool = _pool.make_pool()
     message = jobs.SubmitJob(token=7, job=_pool.make_job("j"))
     (append,) = _pool.send(pool, message, durable=False)
-    assert not _pool.wait(pool, 1.0)
+    assert not _pool.advance(pool, 1.0)
     outputs = _pool.send(pool, jobs.JournalDurable(tokens=(append.token,)))
     assert outputs[0] == jobs.JobAccepted(token=7, job_id="j")
-    assert _pool.of_kind(outputs, jobs.StartTask)
+    assert _pool.filter_by_type(outputs, jobs.StartTask)
 
 
 def test_wait_limit_ends_only_the_wait() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "runs", wait_limit_s=2.0, **_need(4000))
-    _pool.start_all(pool)
+    _pool.confirm_starts(pool)
     _pool.submit(pool, "waits", wait_limit_s=2.0)
-    outputs = _pool.wait(pool, 3.0)
-    refused = _pool.of_kind(outputs, jobs.Refused)
+    outputs = _pool.advance(pool, 3.0)
+    refused = _pool.filter_by_type(outputs, jobs.Refused)
     assert [item.reason for item in refused] == [Reason.DEADLINE_EXCEEDED]
     view = jobs.read_job(pool.state, "waits", pool.now)
     assert (view.state, view.reason) == ("failed", "deadline_exceeded")
@@ -113,7 +116,7 @@
     pool = _pool.make_pool(workers=1)
     document = pool.state.document
     _pool.submit(pool, "full", **_need(4000))
-    _pool.start_all(pool)
+    _pool.confirm_starts(pool)
     pool.state.document = attrs.evolve(
         document,
         pool=attrs.evolve(document.pool, queue_limit=20_000),
@@ -134,9 +137,9 @@
 def test_cancelled_attempts_hold_capacity_until_they_end() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "first", **_need(4000))
-    (start,) = _pool.start_all(pool)
+    (start,) = _pool.confirm_starts(pool)
     outputs = _pool.send(pool, jobs.CancelJob(token=1, job_id="first"))
-    assert _pool.of_kind(outputs, jobs.StopTask)
+    assert _pool.filter_by_type(outputs, jobs.StopTask)
     _pool.submit(pool, "second", **_need(4000))
     assert not _pool.take_starts(pool)
     stopped = _pool.report(start.attempt, model.TaskState.STOPPED)
@@ -156,14 +159,14 @@
     _pool.submit(pool, "known")
     _pool.send(pool, jobs.CancelJob(token=1, job_id="known"))
     outputs = _pool.send(pool, jobs.CancelJob(token=2, job_id=job_id))
-    assert _pool.of_kind(outputs, kind)[0].token == 2
+    assert _pool.filter_by_type(outputs, kind)[0].token == 2
 
 
 def test_ended_jobs_are_forgotten_after_a_while() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "full", **_need(4000))
     _pool.submit(pool, "j", wait_limit_s=1.0)
-    _pool.wait(pool, 2.0)
+    _pool.advance(pool, 2.0)
     assert jobs.read_job(pool.state, "j", pool.now) is not None
     pool.now += 1000.0
     _pool.send(pool, jobs.Tick())
--- a/chestnuttide/jobs/tests/test_attempts.py
+++ b/chestnuttide/jobs/tests/test_attempts.py
@@ -8,9 +8,9 @@
 Outcome = jobs.StartOutcome
 
 # A lease of 10 s and its margin of 10%.
-LAPSE_S = 11.0
+EXPIRY_S = 11.0
 # A start without an answer may also take effect until it expires.
-DOUBT_S = LAPSE_S + model.START_VALID_S + model.CLOCK_SKEW_S
+UNCERTAIN_EXPIRY_S = EXPIRY_S + model.START_VALID_S + model.CLOCK_SKEW_S
 
 
 @pytest.mark.parametrize(
@@ -20,17 +20,17 @@
         pytest.param(["unsent"], 0.0, id="unsent_start_waits"),
         pytest.param(
             ["unanswered", "no_capacity", "no_capacity"],
-            DOUBT_S,
+            UNCERTAIN_EXPIRY_S,
             id="lost_start_may_still_arrive",
         ),
         pytest.param(
             ["unanswered", "unsent", "unsent"],
-            DOUBT_S,
+            UNCERTAIN_EXPIRY_S,
             id="unsent_retry_clears_doubt",
         ),
         pytest.param(
             ["unanswered", "unanswered", "unanswered"],
-            DOUBT_S,
+            UNCERTAIN_EXPIRY_S,
             id="doubt_counts_from_first_start",
         ),
         pytest.param(
@@ -51,15 +51,15 @@
         assert starts[-1].worker_id == first.worker_id
         if outcome == "unanswered":
             received_at = pool.now
-        _pool.answer(pool, starts[-1], Outcome(outcome))
+        _pool.answer_start(pool, starts[-1], Outcome(outcome))
         if position < len(outcomes) - 1:
-            _pool.wait(pool, 2.1)
+            _pool.advance(pool, 2.1)
             starts.append(_pool.take_starts(pool)[0])
     if elsewhere_after_s:
         left_s = received_at + elsewhere_after_s - pool.now
-        _pool.wait(pool, left_s - 0.2)
+        _pool.advance(pool, left_s - 0.2)
         assert not _pool.take_starts(pool)
-        _pool.wait(pool, 1.0)
+        _pool.advance(pool, 1.0)
     (second,) = _pool.take_starts(pool)
     assert second.attempt.number == first.attempt.number + 1
     if not elsewhere_after_s:
@@ -69,11 +69,11 @@
 @pytest.mark.parametrize(
     ("failed", "received", "in_flight", "after_s"),
     [
-        pytest.param(False, True, False, LAPSE_S, id="lapses_too_early"),
-        pytest.param(True, True, False, LAPSE_S + 3.0, id="sync_may_arrive"),
-        pytest.param(True, False, False, LAPSE_S, id="unsent_sync_renews"),
+        pytest.param(False, True, False, EXPIRY_S, id="lapses_too_early"),
+        pytest.param(True, True, False, EXPIRY_S + 3.0, id="sync_may_arrive"),
+        pytest.param(True, False, False, EXPIRY_S, id="unsent_sync_renews"),
         pytest.param(
-            False, True, True, LAPSE_S + 3.0, id="awaited_sync_may_arrive"
+            False, True, True, EXPIRY_S + 3.0, id="awaited_sync_may_arrive"
         ),
     ],
 )
@@ -82,10 +82,10 @@
 ) -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
-    (first,) = _pool.start_all(pool)
-    began = pool.now
+    (first,) = _pool.confirm_starts(pool)
+    started_at = pool.now
     _pool.sync(pool, first.worker_id, _pool.report(first.attempt))
-    _pool.wait(pool, 3.0)
+    _pool.advance(pool, 3.0)
     if in_flight:
         message = jobs.SyncSent(worker_id=first.worker_id, lease_s=10.0)
         _pool.send(pool, message)
@@ -103,9 +103,9 @@
         state=model.InstanceState.GONE,
     )
     _pool.send(pool, jobs.WorkersChanged(instances=(gone,)))
-    _pool.wait(pool, began + after_s - 0.2 - pool.now)
+    _pool.advance(pool, started_at + after_s - 0.2 - pool.now)
     assert not _pool.take_starts(pool)
-    _pool.wait(pool, 1.0)
+    _pool.advance(pool, 1.0)
     assert _pool.take_starts(pool)[0].worker_id != first.worker_id
 
 
@@ -114,14 +114,14 @@
     # would keep its tasks.
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
-    (first,) = _pool.start_all(pool)
+    (first,) = _pool.confirm_starts(pool)
     for _ in range(40):
         if jobs.may_sync(pool.state, first.worker_id):
             _pool.send(
                 pool,
                 jobs.SyncFailed(worker_id=first.worker_id, sent_at=pool.now),
             )
-        _pool.wait(pool, 0.5)
+        _pool.advance(pool, 0.5)
     assert _pool.take_starts(pool)[0].worker_id != first.worker_id
     assert jobs.may_sync(pool.state, first.worker_id)
 
@@ -129,24 +129,24 @@
 def test_end_is_acknowledged_only_when_durable() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
-    (start,) = _pool.start_all(pool)
+    (start,) = _pool.confirm_starts(pool)
     ended = _pool.report(start.attempt, model.TaskState.SUCCEEDED)
     outputs = _pool.sync(pool, start.worker_id, ended, durable=False)
-    assert not _pool.of_kind(outputs, jobs.AcknowledgeEnd)
+    assert not _pool.filter_by_type(outputs, jobs.AcknowledgeEnd)
     again = _pool.sync(pool, start.worker_id, ended, durable=False)
     assert not again
     tokens = tuple(
-        item.token for item in _pool.of_kind(outputs, jobs.AppendEvent)
+        item.token for item in _pool.filter_by_type(outputs, jobs.AppendEvent)
     )
     outputs = _pool.send(pool, jobs.JournalDurable(tokens=tokens))
-    assert _pool.of_kind(outputs, jobs.AcknowledgeEnd)
+    assert _pool.filter_by_type(outputs, jobs.AcknowledgeEnd)
     outputs = _pool.sync(pool, start.worker_id, ended)
-    assert _pool.of_kind(outputs, jobs.AcknowledgeEnd)
+    assert _pool.filter_by_type(outputs, jobs.AcknowledgeEnd)
     assert jobs.read_job(pool.state, "j", pool.now).state == "succeeded"
 
 
 @pytest.mark.parametrize(
-    ("newer_started", "state", "reads"),
+    ("newer_started", "state", "job_state"),
     [
         pytest.param(False, "succeeded", "succeeded", id="success_is_lost"),
         pytest.param(False, "failed", "running", id="failure_after_lapse"),
@@ -154,11 +154,11 @@
     ],
 )
 def test_late_end_of_a_lapsed_attempt(
-    newer_started: bool, state: str, reads: str
+    newer_started: bool, state: str, job_state: str
 ) -> None:
     pool = _pool.make_pool(workers=2 if newer_started else 1)
     _pool.submit(pool, "j")
-    (first,) = _pool.start_all(pool)
+    (first,) = _pool.confirm_starts(pool)
     for _ in range(2):
         _pool.send(
             pool,
@@ -166,12 +166,12 @@
                 worker_id=first.worker_id, sent_at=pool.now, received=False
             ),
         )
-    _pool.wait(pool, LAPSE_S + 1.0)
-    assert len(_pool.start_all(pool)) == newer_started
-    late = _pool.report(first.attempt, model.TaskState(state))
-    outputs = _pool.sync(pool, first.worker_id, late)
-    assert _pool.of_kind(outputs, jobs.AcknowledgeEnd)
-    assert jobs.read_job(pool.state, "j", pool.now).state == reads
+    _pool.advance(pool, EXPIRY_S + 1.0)
+    assert len(_pool.confirm_starts(pool)) == newer_started
+    completion = _pool.report(first.attempt, model.TaskState(state))
+    outputs = _pool.sync(pool, first.worker_id, completion)
+    assert _pool.filter_by_type(outputs, jobs.AcknowledgeEnd)
+    assert jobs.read_job(pool.state, "j", pool.now).state == job_state
 
 
 @pytest.mark.parametrize(
@@ -187,12 +187,12 @@
 ) -> None:
     pool = _pool.make_pool(workers=2)
     _pool.submit(pool, "j")
-    (start,) = _pool.start_all(pool)
+    (start,) = _pool.confirm_starts(pool)
     other = "w1" if start.worker_id == "w0" else "w0"
     attempt = model.Attempt(job_id=job_id, index=index, number=number)
     whole = _pool.report(attempt, resources=_pool.CAPACITY)
     outputs = _pool.sync(pool, other, whole)
-    (stop,) = _pool.of_kind(outputs, jobs.StopTask)
+    (stop,) = _pool.filter_by_type(outputs, jobs.StopTask)
     assert (stop.worker_id, stop.attempt) == (other, attempt)
     # It holds its worker until it has ended.
     _pool.submit(pool, "big", resources=_pool.CAPACITY)
@@ -204,7 +204,7 @@
 def test_task_lost_by_a_restarted_worker_runs_again() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
-    (start,) = _pool.start_all(pool)
+    (start,) = _pool.confirm_starts(pool)
     pool.now += 0.1
     _pool.sync(pool, start.worker_id)
     assert len(_pool.take_starts(pool)) == 1
@@ -214,7 +214,7 @@
     pool = _pool.make_pool(workers=4)
     _pool.submit(pool, "j", tasks=2)
     failed_on = set()
-    starts = _pool.start_all(pool)
+    starts = _pool.confirm_starts(pool)
     other = next(s for s in starts if s.attempt.index == 1)
     start = next(s for s in starts if s.attempt.index == 0)
     for attempts in (1, 2, 3):
@@ -225,11 +225,11 @@
         outputs = _pool.sync(pool, start.worker_id, *reports)
         assert len(failed_on) == attempts, "tried on the same worker again"
         if attempts < 3:
-            _pool.wait(pool, 3.0)
-            (start,) = _pool.start_all(pool)
+            _pool.advance(pool, 3.0)
+            (start,) = _pool.confirm_starts(pool)
     view = jobs.read_job(pool.state, "j", pool.now)
     assert (view.state, view.reason) == ("failed", "task_failed")
-    stops = _pool.of_kind(outputs, jobs.StopTask)
+    stops = _pool.filter_by_type(outputs, jobs.StopTask)
     assert [stop.attempt for stop in stops] == [other.attempt]
 
 
@@ -240,13 +240,13 @@
     )
     waits = []
     for _ in range(4):
-        (start,) = _pool.start_all(pool)
+        (start,) = _pool.confirm_starts(pool)
         ended = _pool.report(start.attempt, model.TaskState.FAILED)
         _pool.sync(pool, start.worker_id, ended)
-        began = pool.now
+        started_at = pool.now
         while not pool.starts:
-            _pool.wait(pool, 0.1)
-        waits.append(pool.now - began)
+            _pool.advance(pool, 0.1)
+        waits.append(pool.now - started_at)
     assert waits[-1] > 2.0 * waits[0] > 0.0
 
 
@@ -254,7 +254,7 @@
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
     (start,) = _pool.take_starts(pool)
-    outputs = _pool.answer(pool, start, Outcome.STALE_EPOCH)
-    assert _pool.of_kind(outputs, jobs.Deposed)
-    outputs = _pool.submit(pool, "k") + _pool.wait(pool, 20.0)
-    assert not _pool.of_kind(outputs, jobs.StartTask)
+    outputs = _pool.answer_start(pool, start, Outcome.STALE_EPOCH)
+    assert _pool.filter_by_type(outputs, jobs.Deposed)
+    outputs = _pool.submit(pool, "k") + _pool.advance(pool, 20.0)
+    assert not _pool.filter_by_type(outputs, jobs.StartTask)
--- a/chestnuttide/jobs/tests/test_placing.py
+++ b/chestnuttide/jobs/tests/test_placement_loop.py
@@ -4,16 +4,16 @@
 from chestnuttide import config
 from chestnuttide import jobs
 from chestnuttide.jobs.tests import _pool
-from chestnuttide.jobs.tests import _world
+from chestnuttide.jobs.tests import _simulation
 from chestnuttide import model
 from chestnuttide import placement
 
 
-def _half() -> model.Resources:
+def _half_worker() -> model.Resources:
     return model.Resources(cpu_millis=2000, memory_mb=4000)
 
 
-def _end(
+def _report_completion(
     pool: _pool.Pool,
     start: jobs.StartTask,
     state: model.TaskState = model.TaskState.SUCCEEDED,
@@ -28,7 +28,7 @@
     return _pool.sync(pool, start.worker_id, ended, *reports)
 
 
-def _ids(starts: list[jobs.StartTask]) -> list[str]:
+def _job_ids(starts: list[jobs.StartTask]) -> list[str]:
     return [start.attempt.job_id for start in starts]
 
 
@@ -36,20 +36,22 @@
     pool = _pool.make_pool()
     _pool.submit(pool, "q", team="q", tasks=5)
     _pool.submit(pool, "a", team="a", tasks=2)
-    starts = _pool.start_all(pool)
-    assert sorted(_ids(starts)) == ["a", "a", "q", "q"]
-    _end(pool, next(start for start in starts if _ids([start]) == ["q"]))
-    assert _ids(_pool.take_starts(pool)) == ["q"]
+    starts = _pool.confirm_starts(pool)
+    assert sorted(_job_ids(starts)) == ["a", "a", "q", "q"]
+    _report_completion(
+        pool, next(start for start in starts if _job_ids([start]) == ["q"])
+    )
+    assert _job_ids(_pool.take_starts(pool)) == ["q"]
 
 
 def test_large_work_hides_no_small_work() -> None:
     pool = _pool.make_pool(workers=1)
-    _pool.submit(pool, "half", resources=_half())
-    _pool.start_all(pool)
+    _pool.submit(pool, "half", resources=_half_worker())
+    _pool.confirm_starts(pool)
     for number in range(50):
         _pool.submit(pool, f"big{number}", resources=_pool.CAPACITY)
     _pool.submit(pool, "small")
-    assert _ids(_pool.take_starts(pool)) == ["small"]
+    assert _job_ids(_pool.take_starts(pool)) == ["small"]
 
 
 @pytest.mark.parametrize(
@@ -64,13 +66,13 @@
 ) -> None:
     pool = _pool.make_pool(workers=2)
     _pool.submit(
-        pool, "long", tasks=9, declared_run_s=500.0, resources=_half()
+        pool, "long", tasks=9, declared_run_s=500.0, resources=_half_worker()
     )
-    starts = _pool.start_all(pool)
+    starts = _pool.confirm_starts(pool)
     assert len(starts) == 4
     # Long work has aged, so that only its share holds it back.
     for _ in range(8):
-        _pool.wait(pool, 9.0)
+        _pool.advance(pool, 9.0)
         for worker_id in ("w0", "w1"):
             reports = [
                 _pool.report(start.attempt)
@@ -79,9 +81,11 @@
             ]
             _pool.sync(pool, worker_id, *reports)
     if short_waits:
-        _pool.submit(pool, "short", resources=_half(), declared_run_s=55.0)
-    _end(pool, starts[0])
-    assert _ids(_pool.take_starts(pool)) == expected
+        _pool.submit(
+            pool, "short", resources=_half_worker(), declared_run_s=55.0
+        )
+    _report_completion(pool, starts[0])
+    assert _job_ids(_pool.take_starts(pool)) == expected
 
 
 @pytest.mark.parametrize(
@@ -97,20 +101,20 @@
 def test_preemption(changes: dict[str, object], evicts: bool) -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(
-        pool, "soft", workload_class="soft", resources=_half(), tasks=2
+        pool, "soft", workload_class="soft", resources=_half_worker(), tasks=2
     )
-    starts = _pool.start_all(pool)
+    starts = _pool.confirm_starts(pool)
     outputs = _pool.submit(pool, "new", resources=_pool.CAPACITY, **changes)
-    stops = _pool.of_kind(outputs, jobs.StopTask)
+    stops = _pool.filter_by_type(outputs, jobs.StopTask)
     assert [stop.checkpoint for stop in stops] == [True] * 2 * evicts
     if not evicts:
         return
     # What the first victim frees goes to no other work.
     _pool.submit(pool, "small")
-    _end(pool, starts[0], model.TaskState.STOPPED)
+    _report_completion(pool, starts[0], model.TaskState.STOPPED)
     assert not _pool.take_starts(pool)
-    _end(pool, starts[1], model.TaskState.STOPPED)
-    assert _ids(_pool.start_all(pool)) == ["new"]
+    _report_completion(pool, starts[1], model.TaskState.STOPPED)
+    assert _job_ids(_pool.confirm_starts(pool)) == ["new"]
     view = jobs.read_job(pool.state, "soft", pool.now)
     assert (view.state, view.waiting) == ("running", 2)
 
@@ -124,19 +128,19 @@
         workload_class="web",
         tasks=4,
     )
-    _pool.start_all(pool)
+    _pool.confirm_starts(pool)
     outputs = _pool.submit(pool, "u", urgent=True, tasks=4)
-    stops = _pool.of_kind(outputs, jobs.StopTask)
+    stops = _pool.filter_by_type(outputs, jobs.StopTask)
     assert sorted(stop.attempt.index for stop in stops) == [2, 3]
 
 
 def test_services_are_spread_and_batch_is_packed() -> None:
     pool = _pool.make_pool(workers=4)
     _pool.submit(pool, "s", kind=model.JobKind.SERVICE, tasks=4)
-    assert len({s.worker_id for s in _pool.start_all(pool)}) == 4
+    assert len({s.worker_id for s in _pool.confirm_starts(pool)}) == 4
     pool = _pool.make_pool(workers=4)
     _pool.submit(pool, "b", tasks=4)
-    assert len({s.worker_id for s in _pool.start_all(pool)}) == 1
+    assert len({s.worker_id for s in _pool.confirm_starts(pool)}) == 1
 
 
 @pytest.mark.parametrize(
@@ -152,10 +156,12 @@
     starts = _pool.take_starts(pool)
     assert len(starts) == 8
     for start in starts[1:]:
-        _pool.answer(pool, start)
-    _pool.answer(pool, starts[0], jobs.StartOutcome(outcome))
-    outputs = _pool.wait(pool, 3.2)
-    stopped = {s.attempt for s in _pool.of_kind(pool.outputs, jobs.StopTask)}
+        _pool.answer_start(pool, start)
+    _pool.answer_start(pool, starts[0], jobs.StartOutcome(outcome))
+    outputs = _pool.advance(pool, 3.2)
+    stopped = {
+        s.attempt for s in _pool.filter_by_type(pool.outputs, jobs.StopTask)
+    }
     assert {start.attempt for start in starts[1:]} <= stopped
     for worker_id in ("w0", "w1"):
         reports = [
@@ -165,26 +171,26 @@
         ]
         _pool.sync(pool, worker_id, *reports)
     _pool.take_starts(pool)
-    outputs = _pool.wait(pool, 2.0)
-    again = _pool.of_kind(outputs, jobs.StartTask)
+    outputs = _pool.advance(pool, 2.0)
+    again = _pool.filter_by_type(outputs, jobs.StartTask)
     assert sorted(s.attempt.index for s in again) == list(range(8))
 
 
 def test_gang_is_not_starved_by_small_work() -> None:
     pool = _pool.make_pool(workers=1)
-    _pool.submit(pool, "small0", tasks=2, resources=_half())
-    running = _pool.start_all(pool)
+    _pool.submit(pool, "small0", tasks=2, resources=_half_worker())
+    running = _pool.confirm_starts(pool)
     _pool.submit(
-        pool, "g", kind=model.JobKind.GANG, tasks=2, resources=_half()
+        pool, "g", kind=model.JobKind.GANG, tasks=2, resources=_half_worker()
     )
     for number in range(1, 40):
         pool.now += 1.0
-        _pool.submit(pool, f"small{number}", resources=_half())
-        running.extend(_pool.start_all(pool))
-        _end(pool, running.pop(0))
-        started = _pool.start_all(pool)
+        _pool.submit(pool, f"small{number}", resources=_half_worker())
+        running.extend(_pool.confirm_starts(pool))
+        _report_completion(pool, running.pop(0))
+        started = _pool.confirm_starts(pool)
         running.extend(started)
-        if _ids(started) == ["g", "g"]:
+        if _job_ids(started) == ["g", "g"]:
             return
     pytest.fail("the gang was starved")
 
@@ -195,7 +201,7 @@
     first = len(_pool.take_starts(pool))
     assert first <= pool.state.decisions_per_call + 4
     assert jobs.is_busy(pool.state, pool.now)
-    _pool.wait(pool, 2.0)
+    _pool.advance(pool, 2.0)
     assert first + len(_pool.take_starts(pool)) == 300
     assert not jobs.is_busy(pool.state, pool.now)
 
@@ -206,8 +212,8 @@
     # One end of a task made the pool search for each kind of waiting need,
     # which took several ms with some hundred kinds.
     pool = _pool.make_pool(workers=1)
-    _pool.submit(pool, "full", tasks=2, resources=_half())
-    starts = _pool.start_all(pool)
+    _pool.submit(pool, "full", tasks=2, resources=_half_worker())
+    starts = _pool.confirm_starts(pool)
     for number in range(12):
         need = model.Resources(cpu_millis=1800, memory_mb=100 << number // 2)
         _pool.submit(
@@ -221,7 +227,7 @@
         return choose(*args, **keywords)
 
     monkeypatch.setattr(placement, "choose_worker", count)
-    _end(pool, starts[0])
+    _report_completion(pool, starts[0])
     assert len(_pool.take_starts(pool)) == 1
     assert len(searches) <= 2
 
@@ -229,15 +235,15 @@
 def test_leaving_worker_gets_nothing_and_loses_its_services() -> None:
     pool = _pool.make_pool(workers=2)
     _pool.submit(pool, "s", kind=model.JobKind.SERVICE)
-    (start,) = _pool.start_all(pool)
+    (start,) = _pool.confirm_starts(pool)
     leaving = attrs.evolve(
         pool.state.workers[start.worker_id].instance,
         state=model.InstanceState.LEAVING,
     )
     outputs = _pool.send(pool, jobs.WorkersChanged(instances=(leaving,)))
-    outputs += _pool.wait(pool, 1.5)
-    assert _pool.of_kind(outputs, jobs.StopTask)
-    _end(pool, start, model.TaskState.STOPPED)
+    outputs += _pool.advance(pool, 1.5)
+    assert _pool.filter_by_type(outputs, jobs.StopTask)
+    _report_completion(pool, start, model.TaskState.STOPPED)
     (again,) = _pool.take_starts(pool)
     assert again.worker_id != start.worker_id
 
@@ -249,31 +255,33 @@
     )
     pool = _pool.make_pool(workers=1, document=document)
     _pool.submit(pool, "j", workload_class="soft")
-    (start,) = _pool.start_all(pool)
+    (start,) = _pool.confirm_starts(pool)
     usage = model.Resources(cpu_millis=5000, memory_mb=1000)
     report = attrs.evolve(_pool.report(start.attempt), usage=usage)
-    outputs = _pool.sync(pool, "w0", report) + _pool.wait(pool, 1.5)
-    (throttled,) = _pool.of_kind(outputs, jobs.ThrottleTask)
+    outputs = _pool.sync(pool, "w0", report) + _pool.advance(pool, 1.5)
+    (throttled,) = _pool.filter_by_type(outputs, jobs.ThrottleTask)
     assert throttled.share < 1.0
-    outputs = _pool.wait(pool, 10.0)
-    assert _pool.of_kind(outputs, jobs.ThrottleTask)[0].share == 1.0
+    outputs = _pool.advance(pool, 10.0)
+    assert _pool.filter_by_type(outputs, jobs.ThrottleTask)[0].share == 1.0
 
 
 def test_gangs_start_together_in_the_world() -> None:
     # Members whose starts are lost must not leave the others running alone.
     def decide(
-        world: _world.World, attempt: model.Attempt
+        simulation: _simulation.Simulation, attempt: model.Attempt
     ) -> tuple[float, model.TaskState]:
         return 6.0, model.TaskState.SUCCEEDED
 
-    world = _world.make_world(_pool.DOCUMENT, [_pool.CAPACITY] * 4, seed=3)
-    world.decide = decide
-    _world.run_for(world, 1.0)
-    world.workers["w1"].starts_lost_until = world.now + 4.0
+    simulation = _simulation.make_simulation(
+        _pool.DOCUMENT, [_pool.CAPACITY] * 4, seed=3
+    )
+    simulation.decide = decide
+    _simulation.run_for(simulation, 1.0)
+    simulation.workers["w1"].starts_lost_until = simulation.now + 4.0
     for number in range(3):
         job = _pool.make_job(f"g{number}", kind=model.JobKind.GANG, tasks=8)
-        _world.submit(world, job)
-    _world.run_for(world, 90.0)
+        _simulation.submit(simulation, job)
+    _simulation.run_for(simulation, 90.0)
     for number in range(3):
-        assert _world.read(world, f"g{number}").state == "succeeded"
-    assert world.longest_partial_s < 4.5
+        assert _simulation.read(simulation, f"g{number}").state == "succeeded"
+    assert simulation.longest_partial_s < 4.5
--- a/chestnuttide/jobs/tests/test_properties.py
+++ b/chestnuttide/jobs/tests/test_properties.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies
 
 from chestnuttide import config
-from chestnuttide.jobs.tests import _world
+from chestnuttide.jobs.tests import _simulation
 from chestnuttide import model
 
 CAPACITY = model.Resources(cpu_millis=4000, memory_mb=8000, accelerators=2)
@@ -63,9 +63,9 @@
 
 
 def _decide(
-    world: _world.World, attempt: model.Attempt
+    simulation: _simulation.Simulation, attempt: model.Attempt
 ) -> tuple[float, model.TaskState]:
-    job = world.submitted[attempt.job_id]
+    job = simulation.submitted[attempt.job_id]
     if job.kind is model.JobKind.SERVICE:
         return 1e9, model.TaskState.SUCCEEDED
     rng = random.Random(f"{attempt.job_id}/{attempt.index}/{attempt.number}")
@@ -100,31 +100,39 @@
     )
 
 
-def _inject(world: _world.World, kind: str, number: int) -> None:
-    worker_id = f"w{number % len(world.workers)}"
-    worker = world.workers[worker_id]
+def _inject(
+    simulation: _simulation.Simulation, kind: str, number: int
+) -> None:
+    worker_id = f"w{number % len(simulation.workers)}"
+    worker = simulation.workers[worker_id]
     if kind == "cut":
-        worker.cut_until = max(worker.cut_until, world.now + 2.0)
+        worker.partitioned_until = max(
+            worker.partitioned_until, simulation.now + 2.0
+        )
     elif kind == "long_cut":
-        worker.cut_until = max(worker.cut_until, world.now + 15.0)
+        worker.partitioned_until = max(
+            worker.partitioned_until, simulation.now + 15.0
+        )
     elif kind == "crash":
-        _world.crash_worker(world, worker_id)
+        _simulation.crash_worker(simulation, worker_id)
     elif kind == "gone" and number == 0:
-        _world.remove_worker(world, worker_id)
+        _simulation.remove_worker(simulation, worker_id)
     elif kind == "lose_starts":
-        worker.starts_lost_until = world.now + 3.0
+        worker.starts_lost_until = simulation.now + 3.0
     elif kind == "lose_answers":
-        worker.answers_lost_until = world.now + 3.0
+        worker.answers_lost_until = simulation.now + 3.0
     elif kind == "take_over":
-        _world.take_over(world)
+        _simulation.take_over(simulation)
     elif kind == "owner_crash":
-        world.owner.alive = False
-        _world.at(world, 2.0, lambda: _world.take_over(world))
+        simulation.owner.alive = False
+        _simulation.call_later(
+            simulation, 2.0, lambda: _simulation.take_over(simulation)
+        )
     elif kind == "snapshot":
-        _world.take_snapshot(world)
+        _simulation.take_snapshot(simulation)
     elif kind == "cancel" and number < 2:
-        if f"j{number}" in world.submitted:
-            _world.cancel(world, f"j{number}")
+        if f"j{number}" in simulation.submitted:
+            _simulation.cancel(simulation, f"j{number}")
     elif kind == "fails_all" and number == 1:
         worker.fails_all = True
 
@@ -146,24 +154,28 @@
     # The world asserts at each start that no task runs twice, that no worker
     # is over capacity and that no team is over quota; and at each tick that
     # no task is lost.
-    world = _world.make_world(DOCUMENT, [CAPACITY] * 4, seed)
-    world.decide = _decide
+    simulation = _simulation.make_simulation(DOCUMENT, [CAPACITY] * 4, seed)
+    simulation.decide = _decide
     for number, fields in enumerate(submissions):
         job = _job(number, fields)
-        _world.at(world, fields[0], lambda job=job: _world.submit(world, job))
+        _simulation.call_later(
+            simulation,
+            fields[0],
+            lambda job=job: _simulation.submit(simulation, job),
+        )
     for delay_s, kind, number in faults:
-        _world.at(
-            world,
+        _simulation.call_later(
+            simulation,
             delay_s,
-            lambda kind=kind, number=number: _inject(world, kind, number),
+            lambda kind=kind, number=number: _inject(simulation, kind, number),
         )
-    _world.run_for(world, 150.0)
+    _simulation.run_for(simulation, 150.0)
     cancelled = {
-        token[1] for token in world.answers if isinstance(token, tuple)
+        token[1] for token in simulation.answers if isinstance(token, tuple)
     }
-    for job_id, job in world.submitted.items():
-        answer = world.answers.get(job_id)
-        view = _world.read(world, job_id)
+    for job_id, job in simulation.submitted.items():
+        answer = simulation.answers.get(job_id)
+        view = _simulation.read(simulation, job_id)
         if answer is None or not hasattr(answer, "job_id"):
             assert view is None or answer is None
             continue
@@ -173,22 +185,23 @@
         elif job.kind is model.JobKind.SERVICE:
             live = {
                 attempt.index
-                for attempt in _world.live_attempts(world)
+                for attempt in _simulation.live_attempts(simulation)
                 if attempt.job_id == job_id
             }
             assert live <= set(range(job.tasks))
         elif view.state == "succeeded":
             for index in range(job.tasks):
-                assert world.succeeded.get((job_id, index)), "never ran"
+                assert simulation.succeeded.get((job_id, index)), "never ran"
         elif view.state == "running":
             assert view.waiting + view.running + view.done == job.tasks
     services = any(
-        job.kind is model.JobKind.SERVICE for job in world.submitted.values()
+        job.kind is model.JobKind.SERVICE
+        for job in simulation.submitted.values()
     )
     if not services:
         # Enough time has passed for all work to end.
-        for job_id in world.submitted:
-            view = _world.read(world, job_id)
+        for job_id in simulation.submitted:
+            view = _simulation.read(simulation, job_id)
             if view is not None and job_id not in cancelled:
                 assert view.state in ("succeeded", "failed"), view
-        assert not _world.live_attempts(world)
+        assert not _simulation.live_attempts(simulation)
--- a/chestnuttide/jobs/tests/test_recovery.py
+++ b/chestnuttide/jobs/tests/test_recovery.py
@@ -7,11 +7,12 @@
 
 def _events(pool: _pool.Pool) -> tuple[bytes, ...]:
     return tuple(
-        item.event for item in _pool.of_kind(pool.outputs, jobs.AppendEvent)
+        item.event
+        for item in _pool.filter_by_type(pool.outputs, jobs.AppendEvent)
     )
 
 
-def _successor(pool: _pool.Pool, workers: int = 2) -> _pool.Pool:
+def _make_successor(pool: _pool.Pool, workers: int = 2) -> _pool.Pool:
     """Return the next owner's pool, none of whose workers has reported."""
     return _pool.make_pool(
         workers=workers, events=_events(pool), reported=False
@@ -22,17 +23,17 @@
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
     state = jobs.PoolState(document=_pool.DOCUMENT, rng=pool.state.rng)
-    late = _pool.Pool(state=state, run=jobs.make_pool_filter(state=state))
+    successor = _pool.Pool(state=state, run=jobs.make_pool_filter(state=state))
     message = jobs.Recovered(events=_events(pool))
-    outputs = _pool.send(late, message, durable=False)
-    (owner,) = _pool.of_kind(outputs, jobs.AppendEvent)
+    outputs = _pool.send(successor, message, durable=False)
+    (owner,) = _pool.filter_by_type(outputs, jobs.AppendEvent)
     instances = tuple(w.instance for w in pool.state.workers.values())
-    _pool.send(late, jobs.WorkersChanged(instances=instances))
+    _pool.send(successor, jobs.WorkersChanged(instances=instances))
     for worker_id in ("w0", "w1"):
-        _pool.sync(late, worker_id)
-    assert not _pool.wait(late, 20.0)
-    _pool.send(late, jobs.JournalDurable(tokens=(owner.token,)))
-    assert late.starts
+        _pool.sync(successor, worker_id)
+    assert not _pool.advance(successor, 20.0)
+    _pool.send(successor, jobs.JournalDurable(tokens=(owner.token,)))
+    assert successor.starts
 
 
 @pytest.mark.parametrize(
@@ -47,26 +48,26 @@
 ) -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "old")
-    _pool.start_all(pool)
-    late = _successor(pool)
+    _pool.confirm_starts(pool)
+    successor = _make_successor(pool)
     for worker_id in reporting:
-        _pool.sync(late, worker_id)
+        _pool.sync(successor, worker_id)
     # A new job cannot run anywhere yet, so it need not wait.
-    _pool.submit(late, "new")
-    started = {start.attempt.job_id for start in _pool.take_starts(late)}
+    _pool.submit(successor, "new")
+    started = {start.attempt.job_id for start in _pool.take_starts(successor)}
     assert started == ({"new"} if after_s else {"old", "new"})
     if after_s:
-        _pool.wait(late, after_s - 0.2)
-        assert not _pool.take_starts(late)
-        _pool.wait(late, 0.5)
-        (start,) = _pool.take_starts(late)
+        _pool.advance(successor, after_s - 0.2)
+        assert not _pool.take_starts(successor)
+        _pool.advance(successor, 0.5)
+        (start,) = _pool.take_starts(successor)
         assert (start.attempt.job_id, start.worker_id) == ("old", "w0")
 
 
 def test_worker_gets_no_work_before_it_reports() -> None:
     pool = _pool.make_pool(reported=False)
     _pool.submit(pool, "j")
-    _pool.wait(pool, 30.0)
+    _pool.advance(pool, 30.0)
     assert not _pool.take_starts(pool)
     _pool.sync(pool, "w1")
     assert _pool.take_starts(pool)[0].worker_id == "w1"
@@ -75,16 +76,16 @@
 def test_running_attempts_are_adopted() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "j", tasks=2)
-    starts = _pool.start_all(pool)
-    late = _successor(pool)
+    starts = _pool.confirm_starts(pool)
+    successor = _make_successor(pool)
     reports = {"w0": [], "w1": []}
     for start in starts:
         reports[start.worker_id].append(_pool.report(start.attempt))
-    for worker_id, found in reports.items():
-        outputs = _pool.sync(late, worker_id, *found)
-        assert not _pool.of_kind(outputs, jobs.StopTask)
-    assert not _pool.take_starts(late)
-    view = jobs.read_job(late.state, "j", late.now)
+    for worker_id, worker_reports in reports.items():
+        outputs = _pool.sync(successor, worker_id, *worker_reports)
+        assert not _pool.filter_by_type(outputs, jobs.StopTask)
+    assert not _pool.take_starts(successor)
+    view = jobs.read_job(successor.state, "j", successor.now)
     assert (view.running, view.waiting) == (2, 0)
 
 
@@ -92,13 +93,15 @@
     # The second owner starts a task whose first attempt nobody reported.
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
-    numbers = [start.attempt.number for start in _pool.start_all(pool)]
+    numbers = [start.attempt.number for start in _pool.confirm_starts(pool)]
     for _ in range(3):
-        pool_before, pool = pool, _successor(pool)
-        pool.outputs[:0] = _pool.of_kind(pool_before.outputs, jobs.AppendEvent)
+        previous, pool = pool, _make_successor(pool)
+        pool.outputs[:0] = _pool.filter_by_type(
+            previous.outputs, jobs.AppendEvent
+        )
         for worker_id in ("w0", "w1"):
             _pool.sync(pool, worker_id)
-        numbers.extend(s.attempt.number for s in _pool.start_all(pool))
+        numbers.extend(s.attempt.number for s in _pool.confirm_starts(pool))
     assert len(set(numbers)) == len(numbers) == 4
     assert numbers == sorted(numbers)
 
@@ -115,7 +118,7 @@
     _pool.submit(pool, "part", tasks=9)
     _pool.submit(pool, "cancelled")
     _pool.submit(pool, "fails")
-    starts = _pool.start_all(pool)
+    starts = _pool.confirm_starts(pool)
     ends = {("part", 3): "succeeded", ("part", 8): "succeeded"}
     ends[("fails", 0)] = "failed"
     for worker_id in pool.state.workers:
@@ -136,21 +139,23 @@
     _pool.send(pool, jobs.CancelJob(token=1, job_id="cancelled"))
     if with_snapshot:
         snapshot = jobs.encode_snapshot(pool.state, pool.now)
-        late = _pool.make_pool(workers=4, snapshot=snapshot, reported=False)
+        successor = _pool.make_pool(
+            workers=4, snapshot=snapshot, reported=False
+        )
     else:
-        late = _successor(pool, workers=4)
-    assert jobs.read_job(late.state, "part", late.now).done == 2
-    view = jobs.read_job(late.state, "cancelled", late.now)
+        successor = _make_successor(pool, workers=4)
+    assert jobs.read_job(successor.state, "part", successor.now).done == 2
+    view = jobs.read_job(successor.state, "cancelled", successor.now)
     assert view.state == "cancelled"
-    failed_on = late.state.jobs["fails"].failed_on
+    failed_on = successor.state.jobs["fails"].failed_on
     assert failed_on == pool.state.jobs["fails"].failed_on != {}
-    _pool.wait(late, 12.0)
+    _pool.advance(successor, 12.0)
     for worker_id in ("w0", "w1", "w2", "w3"):
-        _pool.sync(late, worker_id)
-    _pool.wait(late, 1.0)
+        _pool.sync(successor, worker_id)
+    _pool.advance(successor, 1.0)
     indexes = sorted(
         start.attempt.index
-        for start in _pool.take_starts(late)
+        for start in _pool.take_starts(successor)
         if start.attempt.job_id == "part"
     )
     assert indexes == [0, 1, 2, 4, 5, 6, 7]
@@ -176,8 +181,8 @@
         _pool.send(pool, message)
     _pool.submit(pool, "new")
     snapshot += b"".join(parts)
-    late = _pool.make_pool(events=_events(pool), snapshot=snapshot)
-    views = jobs.list_jobs(late.state, late.now, limit=1000)
+    successor = _pool.make_pool(events=_events(pool), snapshot=snapshot)
+    views = jobs.list_jobs(successor.state, successor.now, limit=1000)
     states = {view.job.job_id: view.state.value for view in views}
     assert len(states) == 501
     assert states["job-000000"] == states["job-000499"] == "cancelled"
@@ -187,55 +192,57 @@
 def test_wait_goes_on_after_a_takeover() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "full", resources=_pool.CAPACITY)
-    (start,) = _pool.start_all(pool)
+    (start,) = _pool.confirm_starts(pool)
     _pool.submit(pool, "j", wait_limit_s=20.0)
     full = _pool.report(start.attempt, resources=_pool.CAPACITY)
     for _ in range(3):
         pool.now += 5.0
         _pool.sync(pool, "w0", full)
     _pool.submit(pool, "later")
-    late = _successor(pool, workers=1)
-    _pool.sync(late, "w0", full)
-    late.now += 4.0
-    _pool.sync(late, "w0", full)
-    _pool.send(late, jobs.Tick())
-    assert jobs.read_job(late.state, "j", late.now).state == "queued"
-    late.now += 2.0
-    _pool.send(late, jobs.Tick())
-    assert jobs.read_job(late.state, "j", late.now).state == "failed"
+    successor = _make_successor(pool, workers=1)
+    _pool.sync(successor, "w0", full)
+    successor.now += 4.0
+    _pool.sync(successor, "w0", full)
+    _pool.send(successor, jobs.Tick())
+    assert jobs.read_job(successor.state, "j", successor.now).state == "queued"
+    successor.now += 2.0
+    _pool.send(successor, jobs.Tick())
+    assert jobs.read_job(successor.state, "j", successor.now).state == "failed"
 
 
 def test_quota_counts_work_that_is_not_reported_yet() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "old", team="q", tasks=2)
-    (first, second) = _pool.start_all(pool)
-    late = _successor(pool)
+    (first, second) = _pool.confirm_starts(pool)
+    successor = _make_successor(pool)
     other = "w1" if first.worker_id == "w0" else "w0"
-    _pool.sync(late, other)
-    _pool.submit(late, "new", team="q")
-    assert not _pool.take_starts(late)
+    _pool.sync(successor, other)
+    _pool.submit(successor, "new", team="q")
+    assert not _pool.take_starts(successor)
     reports = [_pool.report(item.attempt) for item in (first, second)]
-    _pool.sync(late, first.worker_id, *reports)
-    assert not _pool.take_starts(late)
+    _pool.sync(successor, first.worker_id, *reports)
+    assert not _pool.take_starts(successor)
     done = _pool.report(first.attempt, model.TaskState.SUCCEEDED)
-    _pool.sync(late, first.worker_id, done, reports[1])
-    assert [s.attempt.job_id for s in _pool.take_starts(late)] == ["new"]
+    _pool.sync(successor, first.worker_id, done, reports[1])
+    assert [s.attempt.job_id for s in _pool.take_starts(successor)] == ["new"]
 
 
 def test_incomplete_gang_is_stopped_after_a_takeover() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "g", kind=model.JobKind.GANG, tasks=8)
-    starts = _pool.start_all(pool)
-    late = _successor(pool)
-    _pool.sync(late, "w1")
+    starts = _pool.confirm_starts(pool)
+    successor = _make_successor(pool)
+    _pool.sync(successor, "w1")
     reports = [
         _pool.report(start.attempt)
         for start in starts
         if start.worker_id == "w0"
     ]
-    outputs = _pool.sync(late, "w0", *reports)
-    assert len(_pool.of_kind(outputs, jobs.StopTask)) == len(reports) == 4
-    assert not _pool.take_starts(late)
+    outputs = _pool.sync(successor, "w0", *reports)
+    assert (
+        len(_pool.filter_by_type(outputs, jobs.StopTask)) == len(reports) == 4
+    )
+    assert not _pool.take_starts(successor)
 
 
 def test_listing_pages_by_id_and_team() -> None:
--- a/chestnuttide/jobs/tests/test_stalled_journal.py
+++ b/chestnuttide/jobs/tests/test_stalled_journal.py
@@ -87,18 +87,28 @@
         if message == "durable":
             message = jobs.JournalDurable(tokens=tuple(pending))
             pending = []
-        found = run(message, 1.0)
+        new_outputs = run(message, 1.0)
         pending += [
-            each.token for each in found if isinstance(each, jobs.AppendEvent)
+            output.token
+            for output in new_outputs
+            if isinstance(output, jobs.AppendEvent)
         ]
-        outputs += found
-    refusals = [one for one in outputs if isinstance(one, jobs.JobRefused)]
-    assert {one.token: one.error.run_state for one in refusals} == refused
+        outputs += new_outputs
+    refusals = [
+        output for output in outputs if isinstance(output, jobs.JobRefused)
+    ]
+    assert {
+        output.token: output.error.run_state for output in refusals
+    } == refused
     assert len(refusals) == len(refused)
-    assert {one.error.reason for one in refusals} <= {
+    assert {output.error.reason for output in refusals} <= {
         errors.Reason.STORE_UNAVAILABLE
     }
     assert [
-        one.job_id for one in outputs if isinstance(one, jobs.JobAccepted)
+        output.job_id
+        for output in outputs
+        if isinstance(output, jobs.JobAccepted)
     ] == accepted
-    assert [one.job.job_id for one in jobs.list_jobs(state, 2.0)] == known
+    assert [
+        output.job.job_id for output in jobs.list_jobs(state, 2.0)
+    ] == known
