--- a/chestnuttide/jobs/__init__.py
+++ b/chestnuttide/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of one pool: acceptance, placing, attempts, recovery."""
+"""Scheduling decisions of one pool: acceptance, placement and recovery."""
 
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _messages
--- a/chestnuttide/jobs/_acceptance.py
+++ b/chestnuttide/jobs/_acceptance.py
@@ -21,7 +21,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Refuse a job, or journal it; it is answered once durable."""
+    """Refuse a job, or journal it and answer once its event is durable."""
     job = message.job
     try:
         _check(state, job)
@@ -66,10 +66,11 @@
 def on_stalled(
     state: _state.PoolState, stalled: bool, out: list[object]
 ) -> None:
-    """Answer the submissions that wait while the journal cannot commit.
+    """Answer the pending submissions when the journal stops committing.
 
-    Their events may be in the store although its answer is missing, so they
-    are not refused as not run: such a job runs once its event is durable.
+    Their events may have reached the store even though its answer is missing.
+    The refusals therefore leave open whether the jobs run: a job runs once
+    its event is durable.
     """
     state.stalled = stalled
     if not stalled:
@@ -84,7 +85,7 @@
             errors.RefusedError(
                 reason=errors.Reason.STORE_UNAVAILABLE,
                 message=f"Job {job_id} is not durable yet.",
-                remedy="Read the job's state later, before another try.",
+                remedy="Read the job's state later, before you retry.",
                 run_state=errors.RunState.UNKNOWN,
             ),
             out,
@@ -94,7 +95,7 @@
 def schedule_wait_limit(
     state: _state.PoolState, record: _state.JobRecord
 ) -> None:
-    """Schedule the end of a job's wait, if it has a limit."""
+    """Schedule the expiry of a job's wait limit, if it has one."""
     if record.job.wait_limit_s > 0:
         at = record.entered_at + record.job.wait_limit_s
         _timers.schedule(state, at, "wait", record.job.job_id)
@@ -124,7 +125,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Cancel a job in O(1); its attempts are stopped little by little."""
+    """Cancel a job in O(1); its attempts are stopped incrementally."""
     record = state.jobs.get(message.job_id)
     if record is None:
         _refuse(
@@ -132,7 +133,7 @@
             errors.RefusedError(
                 reason=errors.Reason.UNKNOWN_JOB,
                 message=f"Job {message.job_id} is unknown.",
-                remedy="Check the id; ended jobs are forgotten after a while.",
+                remedy="Check the id; ended jobs are removed after some time.",
             ),
             out,
         )
@@ -155,8 +156,8 @@
         errors.Reason.CANCELLED.value,
         now,
     )
-    # A repeated cancellation is journalled again, so that its answer also
-    # waits until the job's end is durable.
+    # A repeated cancellation is journalled again, so that its answer, too,
+    # waits until the cancellation is durable.
     _journal.append(
         state,
         _events.cancelled(message.job_id, now),
@@ -170,17 +171,17 @@
 def _refuse(
     token: object, error: errors.RefusedError, out: list[object]
 ) -> None:
-    """Answer with a refusal and count it."""
+    """Refuse a call and count the refusal."""
     out.append(_messages.JobRefused(token=token, error=error))
     out.append(_messages.Refused(reason=error.reason))
 
 
 def _check(state: _state.PoolState, job: model.Job) -> None:
-    """Raise the refusal of a job that cannot be accepted."""
+    """Raise an error if a job cannot be accepted."""
     if state.stopping or state.deposed:
         raise errors.RefusedError(
             reason=errors.Reason.NOT_OWNER,
-            message="This instance hands the pool over.",
+            message="This instance is handing the pool over.",
             remedy="Send the job to the pool's new owner.",
         )
     _check_values(job)
@@ -206,20 +207,20 @@
     if state.stalled:
         raise errors.RefusedError(
             reason=errors.Reason.STORE_UNAVAILABLE,
-            message="The job cannot be made durable at present.",
+            message="The job cannot be made durable at the moment.",
             remedy="Submit it again later.",
         )
     limit = state.document.pool.queue_limit
     if state.waiting_tasks + job.tasks > limit:
         raise errors.RefusedError(
             reason=errors.Reason.QUEUE_FULL,
-            message=f"With this job more than {limit} tasks would wait.",
+            message=f"With this job, more than {limit} tasks would wait.",
             remedy="Submit it again later, or raise pool.queue_limit.",
         )
 
 
 def _check_values(job: model.Job) -> None:
-    """Raise the refusal of values that make no sense."""
+    """Raise an error if fields of a job are out of range."""
     need = job.resources
     faults = {
         "id": not job.job_id,
@@ -241,12 +242,12 @@
 
 
 def _is_duration(value: float) -> bool:
-    """Return whether a number of seconds is finite and not negative."""
+    """Return whether a duration in seconds is finite and not negative."""
     return math.isfinite(value) and value >= 0
 
 
 def _check_size(state: _state.PoolState, job: model.Job) -> None:
-    """Raise the refusal of a job that can never run."""
+    """Raise an error if a job is too large to ever run."""
     count = job.tasks if job.kind is model.JobKind.GANG else 1
     need = job.resources
     together = model.Resources(
@@ -261,7 +262,7 @@
             message=f"The job exceeds the whole quota of team {job.team}.",
             remedy="Submit smaller tasks, or raise the team's quota.",
         )
-    # Before the instance list is known, nothing can be said.
+    # The capacity of the pool is unknown until the instance list arrives.
     if (
         placement.worker_count(state.cell)
         and placement.gang_capacity(state.cell, need) < count
--- a/chestnuttide/jobs/_attempts.py
+++ b/chestnuttide/jobs/_attempts.py
@@ -1,4 +1,4 @@
-"""What workers say about attempts: starts, reports, and leases that lapse."""
+"""Start outcomes, worker reports and lease expiry of attempts."""
 
 import math
 
@@ -15,22 +15,25 @@
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Starts sent to one worker for one attempt before its lease is waited for.
+# Maximum number of starts sent for one attempt. After the last one, the
+# attempt is given up when its lease expires.
 MAX_START_SENDS = 3
 
 # Delays in seconds between these starts.
 START_RETRY_BASE_S = 0.2
 START_RETRY_LIMIT_S = 2.0
 
-# Seconds for which a worker that refused or missed a start gets no new work.
+# Seconds for which a worker receives no new work after it refused a start or
+# did not answer one.
 AVOID_S = 1.0
 
-# Syncs in a row that a silent worker may have received, after which it is
-# sent none until its attempts have lapsed. Each of them renews the leases if
-# it does arrive, so going on would keep its tasks from starting elsewhere.
+# Number of consecutive syncs that an unresponsive worker may have received,
+# after which it is sent none until the leases of its attempts have expired.
+# Each sync that does arrive renews the leases, so further syncs would keep
+# its tasks from starting elsewhere.
 MAX_UNCERTAIN_SYNCS = 3
 
-# Seconds until leases are checked again while an answer is awaited.
+# Seconds until leases are checked again while an answer is pending.
 LEASE_CHECK_RETRY_S = 0.5
 
 _CONFIRMING = frozenset(
@@ -45,8 +48,8 @@
 def may_sync(state: _state.PoolState, worker_id: str) -> bool:
     """Return whether a worker may be sent a sync now.
 
-    It is False for a worker that did not answer several syncs which it may
-    have received, until its attempts have lapsed.
+    An unresponsive worker that may have received several syncs is sent no
+    more of them until the leases of its attempts have expired.
     """
     worker = state.workers.get(worker_id)
     if worker is None:
@@ -108,7 +111,8 @@
         attempt_record.in_doubt
         and outcome is not _messages.StartOutcome.EXPIRED
     ):
-        # An earlier start may still arrive, so this answer proves nothing.
+        # An earlier start may still arrive, so this outcome does not show
+        # that the attempt will not run.
         _retry_start(
             state, attempt_record, errors.RetryReason.CONNECT_FAILED, now, out
         )
@@ -127,7 +131,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Send a start that was not answered again, to the same worker."""
+    """Resend an unconfirmed start to the same worker."""
     attempt_record = state.attempts.get(attempt)
     if (
         attempt_record is not None
@@ -144,7 +148,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Send a stop again whose end was not reported."""
+    """Resend a stop command if the attempt has not ended."""
     attempt_record = state.attempts.get(attempt)
     if (
         attempt_record is not None
@@ -159,7 +163,7 @@
 
 
 def depose(state: _state.PoolState, out: list[object]) -> None:
-    """Start nothing any more, because the shard has another owner."""
+    """Stop sending starts, because the shard has another owner."""
     if not state.deposed:
         state.deposed = True
         out.append(_messages.Deposed())
@@ -168,7 +172,7 @@
 def on_sync_sent(
     state: _state.PoolState, message: _messages.SyncSent, now: float
 ) -> None:
-    """Note that a sync is on its way, which may renew leases."""
+    """Record that a sync, which may renew leases, is being sent."""
     worker = state.workers.get(message.worker_id)
     if worker is not None:
         worker.sync_lease_s = message.lease_s
@@ -180,7 +184,7 @@
 def on_sync_failed(
     state: _state.PoolState, message: _messages.SyncFailed, now: float
 ) -> None:
-    """Note that a worker did not answer."""
+    """Record that a worker did not answer a sync."""
     worker = state.workers.get(message.worker_id)
     if worker is None:
         return
@@ -199,7 +203,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Compare what a worker reports with what is known."""
+    """Reconcile a worker's report with the state of the pool."""
     worker = state.workers.get(message.worker_id)
     if worker is None or message.sent_at < state.recovered_at:
         return
@@ -225,15 +229,16 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Give up the attempts that a worker should report and does not."""
+    """Give up the attempts that are missing from a worker's report."""
     seen = {report.attempt for report in message.reports}
     for attempt in list(worker.attempts):
         if attempt in seen:
             continue
         attempt_record = state.attempts[attempt]
-        # Either it was confirmed before this sync, so the worker has lost it,
-        # for example in a restart. Or the lease of its last start had
-        # expired before this sync, so it does not run if it ever did.
+        # The attempt is lost in two cases. If it was confirmed before this
+        # sync, the worker has lost it, for example in a restart. If the lease
+        # of its last start expired before this sync, it no longer runs or
+        # never did.
         if attempt_record.confirmed_at < message.sent_at or (
             not attempt_record.in_flight
             and attempt_record.expires_at <= message.sent_at
@@ -244,7 +249,7 @@
 def schedule_lease_check(
     state: _state.PoolState, worker: _state.WorkerRecord
 ) -> None:
-    """Schedule the check of a worker's leases, unless one is scheduled."""
+    """Schedule a check of a worker's leases if none is scheduled."""
     if worker.lease_check_scheduled or not worker.attempts:
         return
     check_at = min(
@@ -291,7 +296,7 @@
 def remove_if_gone(
     state: _state.PoolState, worker: _state.WorkerRecord
 ) -> None:
-    """Forget a worker that is gone and holds nothing any more."""
+    """Remove a worker that is gone and has no attempts or claims left."""
     worker_id = worker.instance.instance_id
     if (
         worker.instance.state is model.InstanceState.GONE
@@ -310,16 +315,17 @@
     attempt_record: _state.AttemptRecord,
     now: float,
 ) -> None:
-    """Give up an attempt that waits for evictions; its task waits again."""
+    """Release an attempt that waits for evictions, and requeue its task."""
     record = state.jobs[attempt_record.attempt.job_id]
     _reservations.release(state, attempt_record)
-    # The number was never sent to a worker, but it is not used again.
+    # The attempt number was never sent to a worker, so the next attempt of
+    # the task may use it.
     if _state.is_open(record):
         _backlog.requeue_task(state, record, attempt_record.attempt.index)
 
 
 def _late_start_s(outcome: _messages.StartOutcome) -> float:
-    """Return how long after its sending a start may still take effect."""
+    """Return for how long after it was sent a start may take effect."""
     if outcome is _messages.StartOutcome.UNANSWERED:
         return model.START_VALID_S + model.CLOCK_SKEW_S
     return 0.0
@@ -328,7 +334,7 @@
 def _extend_lease(
     state: _state.PoolState, worker: _state.WorkerRecord, sent_at: float
 ) -> None:
-    """Note that a worker may have received a sync that was sent then."""
+    """Extend a worker's leases for a sync that it may have received."""
     lease_s = max(worker.sync_lease_s, _reservations.lease_s(state))
     worker.expires_at = max(
         worker.expires_at, sent_at + lease_s * _state.LEASE_MARGIN_RATIO
@@ -336,7 +342,7 @@
 
 
 def _confirm(attempt_record: _state.AttemptRecord, now: float) -> None:
-    """Note that a worker knows an attempt."""
+    """Record that a worker has confirmed an attempt."""
     attempt_record.confirmed_at = min(attempt_record.confirmed_at, now)
     attempt_record.in_doubt = False
     if attempt_record.phase is _state.Phase.STARTING:
@@ -346,7 +352,7 @@
 def _avoid_worker(
     state: _state.PoolState, attempt_record: _state.AttemptRecord, now: float
 ) -> None:
-    """Keep new work off a worker for a while."""
+    """Send a worker no new work for a short time."""
     worker = state.workers.get(attempt_record.worker_id)
     if worker is not None:
         worker.avoided_until = now + AVOID_S
@@ -363,7 +369,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Schedule another start, or wait until the lease has expired."""
+    """Schedule another start, unless the lease must expire first."""
     if (
         attempt_record.phase is not _state.Phase.STARTING
         or attempt_record.starts_sent >= MAX_START_SENDS
@@ -385,7 +391,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Release an attempt that certainly did not and will not run."""
+    """Release an attempt that certainly never started and never will."""
     _end_attempt(
         state,
         attempt_record,
@@ -405,7 +411,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Release an attempt that has lapsed or is lost by its worker."""
+    """Release an attempt that has expired or that its worker has lost."""
     _end_attempt(
         state,
         attempt_record,
@@ -426,7 +432,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Release an attempt and let its task go on."""
+    """Release an attempt and decide how its task continues."""
     if attempt_record.orphaned:
         _reservations.release(state, attempt_record)
         return
@@ -451,12 +457,12 @@
     now: float,
     out: list[object],
 ) -> bool:
-    """Handle what a worker reports about one attempt.
+    """Handle a worker's report about one attempt.
 
     Returns
     -------
     bool
-        Whether it is a live attempt that was known.
+        Whether the attempt is live and was already known.
     """
     worker_id = worker.instance.instance_id
     attempt = report.attempt
@@ -504,7 +510,7 @@
 
 
 def _is_open_task(record: _state.JobRecord, attempt: model.Attempt) -> bool:
-    """Return whether a task may take in an attempt that was not known."""
+    """Return whether a report of an unknown attempt can apply to its task."""
     return (
         _state.is_open(record)
         and record.durable
@@ -515,9 +521,10 @@
 
 
 def _is_adoptable(record: _state.JobRecord, attempt: model.Attempt) -> bool:
-    """Return whether a reported live attempt is taken over.
+    """Return whether a reported live attempt may be adopted.
 
-    A lone member of a gang is not, once the gang's members are known.
+    A single member of a gang may not be adopted once the states of the gang's
+    tasks are known.
     """
     return (
         _is_open_task(record, attempt)
@@ -532,11 +539,11 @@
     report: model.AttemptReport,
     now: float,
 ) -> bool:
-    """Return whether the end of an attempt that is not live counts.
+    """Return whether to accept the completion of an attempt that is not live.
 
-    An attempt whose number is known has lapsed, or its end was counted
-    before; then only a late success counts, and only while no newer attempt
-    was sent.
+    If the attempt's number is known, the attempt has expired or its
+    completion was already counted. Then only a success is accepted, and only
+    if no start of a newer attempt was sent.
     """
     attempt = report.attempt
     if not _is_open_task(record, attempt):
@@ -561,7 +568,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Journal an end; it is acknowledged to the worker once durable."""
+    """Journal a completion, to be acknowledged once it is durable."""
     state.unacknowledged[(worker_id, report.attempt)] = None
     _journal.append(
         state,
--- a/chestnuttide/jobs/_backlog.py
+++ b/chestnuttide/jobs/_backlog.py
@@ -1,4 +1,4 @@
-"""Jobs with tasks to start, and their place in the queue."""
+"""Jobs with tasks to start, and their lanes in the queue."""
 
 import collections.abc
 import math
@@ -8,25 +8,25 @@
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Run time in seconds for which a team is charged at most when a task starts.
-# Services do not end, and a wrong estimate must not shut a team out.
+# Maximum run time in seconds that a team is charged for when a task starts.
+# Services never end, and a wrong estimate must not starve a team.
 MAX_CHARGED_S = 600.0
 
-# Significant bits of a need that tell lanes apart. Needs in one lane differ by
-# at most an eighth, and a pool has some dozens of lanes.
+# Number of significant bits of a need that distinguish lanes. Needs in one
+# lane differ by at most an eighth, and a pool has a few dozen lanes.
 LANE_BITS = 3
 
-# Run times in seconds above which lanes are not told apart.
+# Longest run time in seconds that distinguishes lanes.
 LONGEST_RUN_S = 1e5
 
-# Smallest charge for a task, so that its team moves on.
+# Smallest charge for a task. Each start must advance its team in the order.
 MIN_COST = 1e-6
 
 
 def expected_run(
     state: _state.PoolState, job: model.Job
 ) -> queueing.Expectation:
-    """Return the expected run time of a task; infinite for services."""
+    """Return the expected run time of a task; infinity for services."""
     if job.kind is model.JobKind.SERVICE:
         return queueing.Expectation(
             median_s=math.inf, p90_s=math.inf, learned=False
@@ -39,12 +39,12 @@
 def cost(
     state: _state.PoolState, need: model.Resources, run_s: float
 ) -> float:
-    """Return the share of the pool times the seconds that work takes."""
+    """Return the cost of work: its share of the pool times its run time."""
     return max(share(state, need) * min(run_s, MAX_CHARGED_S), MIN_COST)
 
 
 def share(state: _state.PoolState, amount: model.Resources) -> float:
-    """Return the largest share of the pool over the dimensions."""
+    """Return the largest share of the pool over all resource dimensions."""
     total = placement.capacity_total(state.cell)
     return max(
         amount.cpu_millis / max(total.cpu_millis, 1),
@@ -54,7 +54,7 @@
 
 
 def enqueue(state: _state.PoolState, record: _state.JobRecord) -> None:
-    """Queue a job that has tasks to start, unless it is queued."""
+    """Queue a job that has tasks to start, unless it is already queued."""
     job = record.job
     if (
         job.job_id in state.queue.items
@@ -90,17 +90,17 @@
 def update_estimate(
     state: _state.PoolState, record: _state.JobRecord
 ) -> float:
-    """Estimate a job's run time, and what follows from it.
+    """Update a job's estimated run time, cost and lane.
 
-    Work of nearly the same need, importance and run time shares a lane of the
-    queue. When its head fits nowhere, hardly anything else in the lane does,
-    so the lane is left and hides no other. Urgent work and services are never
-    long.
+    Work of similar need, priority and run time shares a lane of the queue. If
+    the head of a lane fits nowhere, hardly anything else in the lane does, so
+    the whole lane is skipped and does not block other lanes. Urgent work and
+    services never count as long.
 
     Returns
     -------
     float
-        Expected run time in seconds; infinite for services.
+        Expected run time in seconds; infinity for services.
     """
     job = record.job
     need = job.resources
@@ -128,24 +128,24 @@
 
 
 def is_long(lane: str) -> bool:
-    """Return whether a lane holds long work."""
+    """Return whether a lane contains long work."""
     return lane.startswith("long/")
 
 
 def block_lane(state: _state.PoolState, record: _state.JobRecord) -> None:
-    """Leave the lane of a job that fits nowhere, until room is freed."""
+    """Skip the lane of a job that fits nowhere, until capacity is freed."""
     state.blocked_lanes[record.lane] = _floor_need(record.job.resources)
 
 
 def unblock_lanes(
     state: _state.PoolState, worker_ids: collections.abc.Iterable[str]
 ) -> dict[str, model.Resources]:
-    """Try the lanes again that may fit a worker on which room was freed.
+    """Unblock the lanes that may fit workers on which capacity was freed.
 
     Returns
     -------
     dict of str to Resources
-        Least need of each of these lanes.
+        The unblocked lanes, each with a lower bound of the needs in it.
     """
     free_capacities = _free_capacities(state, worker_ids)
     if not free_capacities:
@@ -166,16 +166,16 @@
     unblocked: dict[str, model.Resources],
     worker_ids: collections.abc.Iterable[str],
 ) -> None:
-    """Leave lanes again whose room another task has taken meanwhile.
+    """Block lanes again if other tasks have since used the freed capacity.
 
     Parameters
     ----------
     state : PoolState
         The pool.
-    loose : dict of str to Resources
-        What `unblock_lanes` returned; lanes that are left again are removed.
+    unblocked : dict of str to Resources
+        Result of `unblock_lanes`; lanes that are blocked again are removed.
     worker_ids : iterable of str
-        The workers on which room was freed.
+        The workers on which capacity was freed.
     """
     free_capacities = _free_capacities(state, worker_ids)
     for lane, need in list(unblocked.items()):
@@ -197,13 +197,13 @@
 def requeue_task(
     state: _state.PoolState, record: _state.JobRecord, index: int
 ) -> None:
-    """Let a task wait for its next start."""
+    """Put a task back among the waiting ones."""
     record.waiting[index] = None
     enqueue(state, record)
 
 
 def pop_task(record: _state.JobRecord) -> int | None:
-    """Take the next task that waits; tasks that ran before come first."""
+    """Remove and return the next waiting task; restarts come first."""
     if record.waiting:
         index = next(iter(record.waiting))
         del record.waiting[index]
@@ -217,7 +217,7 @@
 def withdraw_task(
     state: _state.PoolState, record: _state.JobRecord, index: int
 ) -> None:
-    """Take a given task out of wherever it waits."""
+    """Remove a given task from the tasks that wait or are in backoff."""
     record.waiting.pop(index, None)
     record.delayed.discard(index)
     if not record.settled:
@@ -232,13 +232,13 @@
 def dequeue_if_empty(
     state: _state.PoolState, record: _state.JobRecord
 ) -> None:
-    """Take a job without tasks to start out of the queue."""
+    """Remove a job from the queue if it has no tasks to start."""
     if not _state.pending(record):
         queueing.cancel(state.queue, record.job.job_id)
 
 
 def _floor_need(need: model.Resources) -> model.Resources:
-    """Return a need rounded down to what its lane is named after."""
+    """Return a need rounded down as it is in the name of its lane."""
     return model.Resources(
         cpu_millis=_floor(need.cpu_millis),
         memory_mb=_floor(need.memory_mb),
@@ -247,6 +247,6 @@
 
 
 def _floor(amount: int) -> int:
-    """Return an amount rounded down to its first significant bits."""
+    """Return an amount rounded down to its most significant bits."""
     shift = max(0, amount.bit_length() - LANE_BITS)
     return amount >> shift << shift
--- a/chestnuttide/jobs/_events.py
+++ b/chestnuttide/jobs/_events.py
@@ -1,7 +1,8 @@
 """Journal events of a pool shard.
 
-An event is a CBOR array ``[tag, at, fields...]`` where `at` is the owner's
-monotonic clock in seconds, which shows how long jobs have waited.
+An event is a CBOR array ``[tag, at, fields...]``. `at` is the reading of the
+owner's monotonic clock in seconds, from which the waiting times of jobs are
+computed.
 """
 
 import cbor2
@@ -34,7 +35,7 @@
 
 
 def decode_job(fields: list) -> model.Job:
-    """Return the job of its plain values."""
+    """Return the job that `encode_job` encoded."""
     cpu_millis, memory_mb, accelerators = fields[5]
     return model.Job(
         job_id=fields[0],
@@ -67,7 +68,7 @@
 def task_ended(
     report: model.AttemptReport, worker_id: str, now: float
 ) -> bytes:
-    """Return the event of an attempt's end."""
+    """Return the event of an attempt's completion."""
     attempt = report.attempt
     return cbor2.dumps(
         [
@@ -100,5 +101,5 @@
 
 
 def decode(event: bytes) -> list:
-    """Return the array of an event."""
+    """Decode an event to its array."""
     return cbor2.loads(event)
--- a/chestnuttide/jobs/_gangs.py
+++ b/chestnuttide/jobs/_gangs.py
@@ -1,4 +1,7 @@
-"""Gangs: all tasks start at once or none, with one reservation at a time."""
+"""Gangs, whose tasks start all at once or not at all.
+
+Workers are reserved for at most one gang at a time.
+"""
 
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _outcomes
@@ -12,13 +15,13 @@
 # Seconds within which all members of a gang must be confirmed.
 GANG_START_S = 3.0
 
-# Seconds between two plans of a reservation. A plan looks at the expected
-# ends of all attempts, so it is not made for each decision.
+# Minimum seconds between two plans of a reservation. A plan examines the
+# expected end times of all attempts, which is too expensive for each decision.
 PLAN_INTERVAL_S = 1.0
 
 
 def need_of(record: _state.JobRecord) -> model.Resources:
-    """Return what all tasks of a gang that are to start need together."""
+    """Return the total need of a gang's tasks that are yet to start."""
     need = record.job.resources
     count = _state.pending(record)
     return model.Resources(
@@ -83,7 +86,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Break a gang of which not all members were confirmed in time."""
+    """Abort a gang if some members were not confirmed in time."""
     record = state.jobs.get(job_id)
     if (
         record is None
@@ -115,7 +118,7 @@
     excluded: set[str],
     now: float,
 ) -> None:
-    """Hold workers for a gang, if none are held for another one."""
+    """Reserve workers for a gang, unless another gang has a reservation."""
     if (
         placement.held_key(state.cell) is not None
         or now < state.next_gang_plan_at
@@ -135,5 +138,6 @@
     if plan is None:
         return
     placement.hold(state.cell, plan=plan, key=record.job.job_id, now=now)
-    # After a hold that did not help, another gang has its turn first.
+    # If this reservation does not help, other gangs may reserve before this
+    # gang does so again.
     record.next_reservation_at = now + 2 * limit_s
--- a/chestnuttide/jobs/_journal.py
+++ b/chestnuttide/jobs/_journal.py
@@ -1,4 +1,4 @@
-"""Events on their way to the journal, and what follows when durable."""
+"""Journal appends, and the actions that wait until they are durable."""
 
 from chestnuttide.jobs import _messages
 from chestnuttide.jobs import _state
@@ -10,7 +10,7 @@
     out: list[object],
     *effect: object,
 ) -> None:
-    """Append an event; `effect` is carried out once it is durable.
+    """Append an event to the journal.
 
     Parameters
     ----------
@@ -19,9 +19,10 @@
     event : bytes
         The encoded event.
     out : list
-        Messages of this call.
+        Output messages of this call.
     *effect : object
-        Name of the effect and its arguments; none for no effect.
+        Name and arguments of the action to carry out once the event is
+        durable; nothing for no action.
     """
     token = state.next_token
     state.next_token += 1
--- a/chestnuttide/jobs/_messages.py
+++ b/chestnuttide/jobs/_messages.py
@@ -1,4 +1,4 @@
-"""What the pool filter takes and what it returns."""
+"""Input and output messages of the pool filter."""
 
 import enum
 
@@ -10,12 +10,12 @@
 
 
 class StartOutcome(enum.StrEnum):
-    """How the sending of a start ended.
+    """Outcome of sending a start to a worker.
 
-    ``EXPIRED`` means that the start came too late to take effect, and so did
-    all earlier ones of the attempt.
-    ``UNANSWERED`` means that the worker may have received the start,
-    ``UNSENT`` that it certainly did not.
+    ``EXPIRED``: this start and all earlier starts of the attempt arrived too
+    late to take effect.
+    ``UNANSWERED``: the worker may have received the start.
+    ``UNSENT``: the worker certainly did not receive the start.
     """
 
     STARTED = "started"
@@ -35,7 +35,7 @@
     Attributes
     ----------
     token : object
-        Names the call in the answer.
+        Identifies the call in the answer.
     job : Job
         The job.
     """
@@ -51,7 +51,7 @@
     Attributes
     ----------
     token : object
-        Names the call in the answer.
+        Identifies the call in the answer.
     job_id : str
         The job.
     """
@@ -62,12 +62,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WorkersChanged:
-    """The instance list has changes for workers of the pool.
+    """Workers of the pool changed in the instance list.
 
     Attributes
     ----------
     instances : tuple of Instance
-        The workers that changed; other kinds are ignored.
+        The changed workers; instances of other kinds are ignored.
     """
 
     instances: tuple[model.Instance, ...]
@@ -98,7 +98,7 @@
     worker_id : str
         The worker.
     reports : tuple of AttemptReport
-        All live attempts, and the ended ones that are not acknowledged.
+        All live attempts, and the completions that are not acknowledged.
     sent_at : float
         Time in seconds at which the sync was sent.
     """
@@ -110,7 +110,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SyncFailed:
-    """A sync got no answer.
+    """A sync was not answered.
 
     Attributes
     ----------
@@ -119,7 +119,7 @@
     sent_at : float
         Time in seconds at which the sync was sent.
     received : bool
-        Whether the worker may have received it, which renews its leases.
+        Whether the worker may have received it, which would renew its leases.
     """
 
     worker_id: str
@@ -129,7 +129,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StartResult:
-    """The sending of one start ended; follows each `StartTask`.
+    """The outcome of one start is known; follows each `StartTask`.
 
     Attributes
     ----------
@@ -138,7 +138,7 @@
     attempt : Attempt
         The attempt.
     outcome : StartOutcome
-        What is known about it.
+        Outcome of the start.
     sent_at : float
         Time in seconds at which the start was sent.
     """
@@ -151,7 +151,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class JournalDurable:
-    """Events are durable.
+    """Journal events are durable.
 
     Attributes
     ----------
@@ -169,7 +169,7 @@
     Attributes
     ----------
     stalled : bool
-        Whether it does not commit; new jobs are refused meanwhile.
+        Whether commits have stopped; new jobs are refused while they have.
     """
 
     stalled: bool
@@ -182,7 +182,7 @@
     Attributes
     ----------
     document : CellConfig
-        The whole configuration.
+        The complete configuration.
     """
 
     document: config.CellConfig
@@ -190,26 +190,26 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Tick:
-    """Time passed."""
+    """Time has passed."""
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Stopping:
-    """The owner hands the shard over; nothing new is accepted or started."""
+    """The shard is being handed over; it accepts and starts nothing new."""
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Recovered:
-    """The shard was taken over by this process.
+    """The shard has been taken over by this process.
 
     Attributes
     ----------
     snapshot : bytes
-        Last snapshot; empty for none.
+        Last snapshot; empty if there is none.
     events : tuple of bytes
         Events after the snapshot, oldest first.
     clean : bool
-        Whether the former owner handed over in order.
+        Whether the previous owner handed the shard over cleanly.
     """
 
     snapshot: bytes = b""
@@ -219,7 +219,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StartTask:
-    """Send this start to the worker.
+    """Send a start command to the worker.
 
     Attributes
     ----------
@@ -228,9 +228,9 @@
     attempt : Attempt
         The attempt.
     resources : Resources
-        What the worker reserves.
+        Resources that the worker reserves.
     payload : bytes
-        JSON object that says what to run.
+        JSON object that describes what to run.
     lease_s : float
         Lease of the attempt, in seconds.
     """
@@ -244,7 +244,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StopTask:
-    """Send this stop to the worker.
+    """Send a stop command to the worker.
 
     Attributes
     ----------
@@ -253,7 +253,7 @@
     attempt : Attempt
         The attempt.
     checkpoint : bool
-        Whether it is checkpointed first.
+        Whether the worker checkpoints the attempt first.
     """
 
     worker_id: str
@@ -263,7 +263,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ThrottleTask:
-    """Limit an attempt to a share of its processor time.
+    """Throttle an attempt to a share of its processor time.
 
     Attributes
     ----------
@@ -282,7 +282,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class AcknowledgeEnd:
-    """Tell the worker in the next sync that the end is recorded.
+    """Acknowledge a completion to the worker in its next sync.
 
     Attributes
     ----------
@@ -305,7 +305,7 @@
     event : bytes
         The event.
     token : int
-        Names the event in `JournalDurable`; ascending.
+        Identifies the event in `JournalDurable`; tokens are ascending.
     """
 
     event: bytes
@@ -355,7 +355,7 @@
     job_id : str
         The job.
     state : JobState
-        ``cancelled``, or the final state of a job that had ended before.
+        ``cancelled``, or the final state of a job that had already ended.
     """
 
     token: object
@@ -370,7 +370,7 @@
     Attributes
     ----------
     reason : RetryReason
-        Why something is tried again.
+        Reason for the retry.
     """
 
     reason: errors.RetryReason
@@ -383,7 +383,7 @@
     Attributes
     ----------
     reason : Reason
-        Why a job was refused or gave up waiting.
+        Why the job was refused, or why it ended while waiting.
     """
 
     reason: errors.Reason
@@ -396,7 +396,7 @@
     Attributes
     ----------
     wait_s : float
-        Seconds from the job's arrival to the start.
+        Seconds from the arrival of the job to the start.
     workload_class : str
         Class of the job.
     urgent : bool
@@ -410,4 +410,4 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Deposed:
-    """A worker has seen a higher epoch; the shard has another owner."""
+    """A worker has seen a higher epoch, so the shard has another owner."""
--- a/chestnuttide/jobs/_outcomes.py
+++ b/chestnuttide/jobs/_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt or a job."""
+"""Handling of the ends of attempts and jobs."""
 
 from chestnuttide import errors
 from chestnuttide.jobs import _backlog
@@ -12,24 +12,25 @@
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Backoff before a failed task, a service's ended task or an aborted gang is
-# started again.
+# Backoff before a failed task, an ended task of a service, or an aborted gang
+# is restarted.
 BACKOFF_BASE_S = 0.5
 BACKOFF_LIMIT_S = 30.0
 
-# A service's task that ran this long ends the row of restarts.
+# Run time in seconds after which a service's task counts as stable, so that
+# its earlier failures no longer lengthen the backoff.
 STABLE_RUN_S = 60.0
 
-# Failures in total after which a task's job fails even if they happened on
-# fewer different workers, as multiple of the allowed attempts. In a small
-# pool there may be no other worker.
+# Total number of failures of a task after which its job fails, as a multiple
+# of the allowed attempts. It applies even if the failures happened on fewer
+# different workers, because a small pool may have no other worker.
 TOTAL_FAILURES_FACTOR = 2
 
-# Ended jobs stay readable for this many seconds and up to this many jobs.
+# Ended jobs can be read for this many seconds, up to this number of jobs.
 ENDED_RETENTION_S = 900.0
 ENDED_RETENTION_COUNT = 20_000
 
-# Attempts of ended jobs that are asked to stop per call.
+# Attempts of ended jobs that are told to stop per call.
 STOPS_PER_CALL = 256
 
 TASK_FAILED = errors.RetryReason.TASK_FAILED.value
@@ -73,7 +74,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """End a job and journal it."""
+    """End a job and journal its end."""
     end_job(state, record, job_state, reason, now)
     event = _events.job_ended(record.job.job_id, job_state, reason, now)
     _journal.append(state, event, out)
@@ -82,7 +83,7 @@
 def stop_closing(
     state: _state.PoolState, now: float, out: list[object]
 ) -> None:
-    """Stop attempts of ended jobs, a bounded number per call."""
+    """Stop a bounded number of attempts of ended jobs."""
     budget = STOPS_PER_CALL
     while state.closing and budget > 0:
         record = state.jobs.get(state.closing[0])
@@ -104,7 +105,7 @@
 
 
 def forget_ended(state: _state.PoolState, now: float) -> None:
-    """Forget jobs that ended long ago, or the oldest of too many."""
+    """Remove ended jobs that are too old or too many."""
     for _ in range(min(len(state.ended), STOPS_PER_CALL)):
         ended_at, job_id = state.ended[0]
         if (
@@ -115,7 +116,7 @@
         state.ended.popleft()
         record = state.jobs[job_id]
         if record.live:
-            # Its attempts still hold capacity.
+            # The capacity of its attempts is still reserved.
             state.ended.append((now, job_id))
         else:
             del state.jobs[job_id]
@@ -131,25 +132,25 @@
     *,
     stop_requested: bool,
 ) -> None:
-    """Decide how a task goes on after an attempt ended or lapsed.
+    """Decide how a task continues after its attempt ended or expired.
 
     Parameters
     ----------
     state : PoolState
         The pool.
     record : JobRecord
-        Its job; the attempt holds nothing any more and the task is in none
-        of the places where it waits.
+        The job of the task. The attempt must already be released, and the
+        task must neither wait nor be in backoff.
     report : AttemptReport
-        How the attempt ended.
+        Outcome of the attempt.
     worker_id : str
-        Worker that ran it.
+        Worker that ran the attempt.
     now : float
         Time in seconds.
     out : list
-        Messages of this call.
-    asked : bool
-        Whether it was asked to stop.
+        Output messages of this call.
+    stop_requested : bool
+        Whether the attempt had been told to stop.
     """
     if not _state.is_open(record):
         return
@@ -208,7 +209,7 @@
     failures: int,
     now: float,
 ) -> None:
-    """Let a task wait for a backoff before it waits for its next start."""
+    """Requeue a task after a backoff."""
     record.delayed.add(index)
     delay_s = queueing.delay_s(
         failures, state.rng, base_s=BACKOFF_BASE_S, limit_s=BACKOFF_LIMIT_S
@@ -222,9 +223,9 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Stop a gang that cannot go on as a whole; it is queued again later.
+    """Stop a gang that cannot continue as a whole, to be requeued later.
 
-    Tasks that succeeded stay done; the others start together again.
+    Tasks that succeeded stay done; the others are restarted together.
     """
     record.aborting = True
     for attempt in list(record.live.values()):
@@ -239,7 +240,7 @@
 def requeue_gang(
     state: _state.PoolState, record: _state.JobRecord, now: float
 ) -> None:
-    """Queue an aborted gang after a backoff, once none of it is live."""
+    """Requeue an aborted gang after a backoff, once no attempt is live."""
     if (
         not record.aborting
         or record.live
@@ -269,7 +270,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Note the success of a task, and the end of its job after the last."""
+    """Record the success of a task, and end its job after the last one."""
     if not _state.is_done(record, report.attempt.index):
         _state.set_done(record, report.attempt.index)
         state.waiting_tasks -= 1
@@ -297,7 +298,7 @@
     *,
     stop_requested: bool,
 ) -> None:
-    """Start a service's task again, after a backoff if it ended by itself."""
+    """Restart a service's task, with a backoff if it ended by itself."""
     index = report.attempt.index
     ended_itself = not stop_requested and report.state in (
         model.TaskState.SUCCEEDED,
@@ -318,7 +319,7 @@
 def _reason(
     report: model.AttemptReport, stop_requested: bool
 ) -> errors.RetryReason:
-    """Return why a task that did not fail runs again."""
+    """Return why a task that did not fail is restarted."""
     if stop_requested and report.state is not model.TaskState.LAPSED:
         return errors.RetryReason.PREEMPTED
     return errors.RetryReason.WORKER_LOST
@@ -330,7 +331,7 @@
     index: int,
     worker_id: str,
 ) -> bool:
-    """Count a failure of a task; returns whether its job has failed."""
+    """Record a failure of a task, and return whether it fails the job."""
     record_failure(record, index, worker_id)
     failures = record.failed_on[index]
     limit = _state.class_config(state, record.job).max_attempts
@@ -343,6 +344,6 @@
 def record_failure(
     record: _state.JobRecord, index: int, worker_id: str
 ) -> None:
-    """Count a failure of a task on a worker."""
+    """Record a failure of a task on a worker."""
     failures = record.failed_on.setdefault(index, {})
     failures[worker_id] = failures.get(worker_id, 0) + 1
--- a/chestnuttide/jobs/_placement_loop.py
+++ b/chestnuttide/jobs/_placement_loop.py
@@ -1,4 +1,4 @@
-"""The loop that starts waiting tasks in the order of the queue."""
+"""Placement loop, which starts waiting tasks in the order of the queue."""
 
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _backlog
@@ -11,22 +11,23 @@
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Tasks of one job started in a row before the order is looked at again.
+# Tasks of one job that are started before the queue's order is evaluated
+# again.
 MAX_BURST_TASKS = 4
 
-# Searches for victims per call; each compares many workers.
+# Searches for victims per call; each search compares many workers.
 PREEMPTIONS_PER_CALL = 4
 
-# Seconds after which lanes without room are tried again even if no
-# capacity was freed, for example because an ejected worker may be probed.
+# Seconds after which blocked lanes are retried even if no capacity was freed,
+# for example because an ejected worker may be probed.
 REFRESH_S = 0.25
 
-# What `_try_job` returns for a job whose team is at its quota.
+# Result of `_try_job` for a job whose team has reached its quota.
 _BLOCKED = -1
 
 
 def place(state: _state.PoolState, now: float, out: list[object]) -> None:
-    """Start waiting tasks, up to the limit of decisions per call."""
+    """Start waiting tasks, up to the maximum number of decisions per call."""
     if not _attempts.may_send_starts(state):
         return
     if now >= state.refreshed_at + REFRESH_S:
@@ -56,8 +57,8 @@
 def _long_to_skip(state: _state.PoolState) -> set[str]:
     """Return the lanes of long work that must wait for short work.
 
-    These are all of them while long work holds its share and short work
-    waits that its quota does not hold back.
+    All lanes of long work must wait while long work uses its whole share of
+    the pool and some short work is waiting that its quota does not block.
     """
     reserved_share = _backlog.share(state, state.long_reserved)
     if reserved_share < state.document.pool.long_share:
@@ -80,8 +81,8 @@
     Returns
     -------
     int
-        Number of tasks started; 0 if none fits; below 0 if its team is at its
-        quota and was taken out of the order.
+        Number of tasks started; 0 if none fits; negative if the team has
+        reached its quota and was blocked in the queue.
     """
     record = state.jobs[item.key]
     if _state.is_gang(record):
@@ -109,7 +110,7 @@
     out: list[object],
     preemptions: list[int],
 ) -> bool:
-    """Start the next task of a job, or evict other work for it.
+    """Start the next task of a job, or evict other work to make room for it.
 
     Returns
     -------
@@ -162,7 +163,8 @@
         if _preemption.preempt(state, record, now, out):
             return True
     if failed_on:
-        # It avoids workers that others in its lane may use.
+        # The task avoids workers that other work in its lane may use, so the
+        # lane must not be blocked.
         index = _backlog.pop_task(record)
         if index is not None:
             _outcomes.delay_task(state, record, index, 1, now)
@@ -175,7 +177,7 @@
     record: _state.JobRecord,
     need: model.Resources,
 ) -> bool:
-    """Return whether a team may hold more; block it in the queue if not."""
+    """Return whether a quota allows a need; block the team if it does not."""
     team = record.job.team
     limits = _state.team_config(state, team)
     if queueing.allows(state.quota, team, limits, need):
@@ -198,7 +200,7 @@
     record: _state.JobRecord,
     failed_on: dict[str, int] | None,
 ) -> set[str]:
-    """Return the workers that a job's next task, or a gang, avoids."""
+    """Return the workers that a job's next task, or a gang, must not use."""
     if failed_on is None:
         avoided = {
             worker_id
@@ -217,10 +219,10 @@
     record: _state.JobRecord,
     avoided: set[str],
 ) -> bool:
-    """Return whether the pool has room enough without some workers.
+    """Return whether the work would fit if some workers were avoided.
 
-    A small pool has no other worker; there the task is tried again on one
-    that it failed on.
+    A small pool may have no other worker. There, a task is retried on a
+    worker on which it has failed.
     """
     count = _state.pending(record) if _state.is_gang(record) else 1
     need = record.job.resources
@@ -239,7 +241,7 @@
 
 
 def _fit_count(need: model.Resources, capacity: model.Resources) -> int:
-    """Return how often a need fits into a capacity."""
+    """Return how many times a need fits into a capacity."""
     count = min(
         capacity.cpu_millis // need.cpu_millis,
         capacity.memory_mb // need.memory_mb,
--- a/chestnuttide/jobs/_pool.py
+++ b/chestnuttide/jobs/_pool.py
@@ -1,4 +1,4 @@
-"""The filter of one pool shard."""
+"""Message filter that makes the decisions of one pool shard."""
 
 from chestnuttide import config
 from chestnuttide.jobs import _acceptance
@@ -19,19 +19,19 @@
 
 
 def make_pool_filter(*, state: _state.PoolState) -> pipes.Filter:
-    """Return the filter that decides for one pool shard.
+    """Return the filter that makes the decisions of one pool shard.
 
     Parameters
     ----------
     state : PoolState
-        State of the pool; changed by the filter.
+        State of the pool, which the filter changes.
 
     Returns
     -------
     Filter
-        Takes one input message and the time, returns output messages. A call
-        makes a bounded number of decisions; while `is_busy` holds, the caller
-        should send a `Tick` soon.
+        Takes one input message and the time, and returns output messages. A
+        call makes a bounded number of decisions. While `is_busy` returns
+        True, a `Tick` should be sent soon.
     """
     _adopt_config(state, state.document)
 
@@ -52,7 +52,7 @@
 
 
 def is_busy(state: _state.PoolState, now: float) -> bool:
-    """Return whether the last call left work that could go on at once."""
+    """Return whether there is work that another call could do immediately."""
     return bool(
         state.closing
         or (state.dirty and _attempts.may_send_starts(state))
@@ -61,7 +61,7 @@
 
 
 def next_due(state: _state.PoolState) -> float | None:
-    """Return when the next timer falls due, in seconds; None for never."""
+    """Return the due time of the next timer in seconds, or None."""
     return state.timers[0][0] if state.timers else None
 
 
@@ -98,13 +98,13 @@
         case _messages.Stopping():
             state.stopping = True
         case _:
-            raise TypeError(f"The pool filter does not take {message!r}.")
+            raise TypeError(f"The pool filter does not accept {message!r}.")
 
 
 def _adopt_config(
     state: _state.PoolState, document: config.CellConfig
 ) -> None:
-    """Adopt a configuration."""
+    """Apply a configuration."""
     state.document = document
     placement.set_limits(state.cell, document.pool)
     queueing.set_weights(
@@ -119,7 +119,7 @@
 def _on_durable(
     state: _state.PoolState, token: int, now: float, out: list[object]
 ) -> None:
-    """Carry out what follows from an event that is durable."""
+    """Carry out the action that waited for an event to be durable."""
     match state.effects.pop(token, None):
         case ("accept", call, job_id):
             _acceptance.on_accepted(state, call, job_id, now, out)
@@ -150,7 +150,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Handle a timer that fell due."""
+    """Handle a due timer."""
     match kind:
         case "lapse":
             _attempts.on_lease_timer(state, *arguments, now, out)
@@ -177,7 +177,7 @@
 
 
 def _on_task_timer(state: _state.PoolState, job_id: str, index: int) -> None:
-    """Let a task wait for its next start after its backoff."""
+    """Requeue a task after its backoff."""
     record = state.jobs.get(job_id)
     if record is None or index not in record.delayed:
         return
--- a/chestnuttide/jobs/_preemption.py
+++ b/chestnuttide/jobs/_preemption.py
@@ -1,4 +1,8 @@
-"""Eviction of less important work, and the claims that wait for it."""
+"""Eviction of lower-priority work, and the claims that wait for it.
+
+A claim is an attempt that waits on a worker until evictions free the capacity
+that it needs.
+"""
 
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _backlog
@@ -9,26 +13,27 @@
 from chestnuttide import model
 from chestnuttide import placement
 
-# Seconds for which a claim waits for evictions; a checkpoint takes a while.
+# Seconds for which a claim waits for evictions, which may include checkpoints.
 CLAIM_LIMIT_S = 30.0
 
-# Choices of victims that are made anew because of a service's minimum.
+# Maximum number of searches for victims per task. A search is repeated if its
+# victims would leave a service below its minimum.
 MAX_VICTIM_CHOICES = 3
 
-# Share of its processor time that a throttled attempt keeps, and the seconds
-# for which it is throttled.
+# Share of its processor time that a throttled attempt keeps, and the duration
+# of the throttling in seconds.
 THROTTLE_SHARE = 0.5
 THROTTLE_S = 10.0
 
-# Seconds between two looks for overcommitted or leaving workers.
+# Seconds between two checks for overcommitted or leaving workers.
 RELIEF_INTERVAL_S = 1.0
 
-# Attempts that are moved off leaving workers per look.
+# Maximum number of attempts moved off leaving workers per check.
 MOVES_PER_ROUND = 32
 
 
 def may_preempt(record: _state.JobRecord) -> bool:
-    """Return whether a job's tasks evict others. Gangs wait instead."""
+    """Return whether a job's tasks may evict others; gangs only wait."""
     return not _state.is_gang(record) and _state.priority(record) > 0
 
 
@@ -38,10 +43,10 @@
     now: float,
     out: list[object],
 ) -> bool:
-    """Evict less important work for the next task of a job.
+    """Evict lower-priority work for the next task of a job.
 
-    The task claims the worker: what the victims free is reserved for it as
-    they end, and it starts when all of its need is reserved.
+    The task claims the worker. Capacity that the victims free is reserved for
+    it as they end, and it starts once its whole need is reserved.
 
     Returns
     -------
@@ -76,12 +81,12 @@
 def fill_claims(
     state: _state.PoolState, now: float, out: list[object]
 ) -> list[str]:
-    """Reserve what was freed for the claims on it, before anything else.
+    """Reserve freed capacity for claims, before other work can use it.
 
     Returns
     -------
     list of str
-        The workers on which room was freed.
+        The workers on which capacity was freed.
     """
     freed = state.freed
     state.freed = {}
@@ -97,7 +102,7 @@
 def on_claim_timer(
     state: _state.PoolState, attempt: model.Attempt, now: float
 ) -> None:
-    """Give up a claim whose victims did not end in time."""
+    """Give up a claim that was not filled in time."""
     attempt_record = state.attempts.get(attempt)
     if (
         attempt_record is not None
@@ -107,7 +112,7 @@
 
 
 def relieve(state: _state.PoolState, now: float, out: list[object]) -> None:
-    """Throttle or evict work on overcommitted workers; empty leaving ones."""
+    """Relieve overcommitted workers, and drain leaving ones."""
     if now < state.next_relief_at:
         return
     state.next_relief_at = now + RELIEF_INTERVAL_S
@@ -148,7 +153,7 @@
     share: float,
     out: list[object],
 ) -> None:
-    """Limit the processor time of an attempt."""
+    """Throttle an attempt to a share of its processor time."""
     placement.mark_throttled(
         state.cell, attempt_record.attempt, throttled=share < 1.0
     )
@@ -164,7 +169,7 @@
 def _choose(
     state: _state.PoolState, record: _state.JobRecord, now: float
 ) -> tuple[str, list[model.Attempt]] | None:
-    """Choose victims that leave every service its minimum."""
+    """Choose victims without leaving any service below its minimum."""
     protected = set(state.ending)
     for _ in range(MAX_VICTIM_CHOICES):
         found = placement.choose_victims(
@@ -187,7 +192,7 @@
 def _needed_for_minimum(
     state: _state.PoolState, attempts: list[model.Attempt]
 ) -> list[model.Attempt]:
-    """Return the attempts whose end would leave a service below minimum."""
+    """Return the attempts that a service needs to stay at its minimum."""
     needed = []
     stopped: dict[str, int] = {}
     for attempt in attempts:
@@ -202,7 +207,7 @@
 
 
 def _running_count(state: _state.PoolState, record: _state.JobRecord) -> int:
-    """Return the number of a job's tasks that run."""
+    """Return the number of running tasks of a job."""
     return sum(
         state.attempts[attempt].phase is _state.Phase.RUNNING
         for attempt in record.live.values()
@@ -216,7 +221,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Reserve as much of a claim as is free; start it when that is all."""
+    """Reserve free capacity for a claim, and start it once it is complete."""
     record = state.jobs[attempt_record.attempt.job_id]
     placement.release(state.cell, attempt_record.attempt)
     worker_id = attempt_record.worker_id
@@ -246,7 +251,7 @@
         placement.CapacityError,
         placement.WorkerUnavailableError,
     ):
-        # The worker was ejected, or is over capacity in another dimension.
+        # The worker was ejected, or another dimension exceeds its capacity.
         attempt_record.phase = _state.Phase.CLAIMED
         if placement.is_ejected(state.cell, worker_id):
             _attempts.drop_claim(state, attempt_record, now)
@@ -258,10 +263,11 @@
 def _drain_leaving(
     state: _state.PoolState, now: float, out: list[object]
 ) -> None:
-    """Stop work on leaving workers that can go on elsewhere.
+    """Stop work on leaving workers that can continue elsewhere.
 
-    Services move while enough of their tasks stay up, and work that can be
-    checkpointed moves at once. Other work is left to end by itself.
+    Tasks of a service are moved while enough of its other tasks are running.
+    Work that can be checkpointed is moved immediately. Other work runs to its
+    end.
     """
     budget = MOVES_PER_ROUND
     for worker_id in state.leaving:
@@ -278,7 +284,7 @@
             policy = _state.class_config(state, record.job)
             if _state.is_service(record):
                 running = _running_count(state, record)
-                # A service of which all tasks must stay up is moved one task
+                # If all tasks of a service must stay up, they are moved one
                 # at a time.
                 minimum = min(policy.minimum_up, record.job.tasks - 1)
                 if running <= minimum:
--- a/chestnuttide/jobs/_recovery.py
+++ b/chestnuttide/jobs/_recovery.py
@@ -1,4 +1,4 @@
-"""Takeover of a pool shard, and the list of its workers."""
+"""Takeover of a pool shard, and changes of its workers."""
 
 from chestnuttide.jobs import _acceptance
 from chestnuttide.jobs import _attempts
@@ -14,8 +14,8 @@
 from chestnuttide import model
 from chestnuttide import placement
 
-# Seconds after the end of a job during which its attempts may not have been
-# stopped yet.
+# Seconds after the end of a job during which some of its attempts may still be
+# running.
 ORPHAN_WINDOW_S = 60.0
 
 
@@ -25,18 +25,18 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Rebuild the jobs, and wait for the reports of the workers.
+    """Rebuild the jobs, and start to wait for the workers' reports.
 
-    Nothing starts before the takeover is durable, because the attempt numbers
-    of this owner depend on it. The tasks of recovered jobs start only when
-    all listed workers have reported, or the leases that the former owner may
-    have granted have expired.
+    No task starts before the takeover is durable, because the attempt numbers
+    of this owner depend on it. Tasks of recovered jobs start only once all
+    listed workers have reported, or once any leases that the previous owner
+    granted have expired.
     """
     _snapshot.rebuild(state, message.snapshot, message.events, now)
     state.recovered_at = now
     state.ready = False
     state.settled = False
-    # A start of the former owner may take effect until it expires.
+    # A start sent by the previous owner may take effect until it expires.
     state.settle_at = (
         now
         + model.START_VALID_S
@@ -64,13 +64,13 @@
     message: _messages.WorkersChanged,
     now: float,
 ) -> None:
-    """Adopt changes of the instance list.
+    """Apply changes of the instance list.
 
-    A worker gets no work before its first report. One that is listed as gone
-    keeps its attempts until their leases have expired. One that is gone when
-    the shard is taken over may still run attempts of the former owner, so it
-    is waited for like any other; callers leave out workers that have been
-    gone for longer than a lease with its margin.
+    A worker receives no work before its first report. A worker that is listed
+    as gone keeps its attempts until their leases have expired. A worker that
+    is gone at the time of a takeover may still run attempts of the previous
+    owner, so its report is waited for as well. The message should leave out
+    workers that have been gone for longer than a lease with its margin.
     """
     for instance in message.instances:
         if instance.kind is not model.InstanceKind.WORKER:
@@ -102,7 +102,7 @@
 def settle_if_known(
     state: _state.PoolState, now: float, out: list[object]
 ) -> None:
-    """Sort the tasks of recovered jobs once it is known which ones run."""
+    """Assign the states of recovered tasks once it is known which ones run."""
     if state.settled:
         return
     known = bool(state.workers) and not state.unreported
@@ -125,7 +125,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Sort the tasks of one recovered job."""
+    """Assign the states of one recovered job's tasks."""
     record.settled = True
     if not _state.is_open(record):
         return
--- a/chestnuttide/jobs/_reservations.py
+++ b/chestnuttide/jobs/_reservations.py
@@ -1,4 +1,4 @@
-"""Attempts and the capacity that they hold, from start to release."""
+"""Life cycle of attempts and of the capacity that they reserve."""
 
 import math
 
@@ -12,12 +12,13 @@
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Seconds after which a stop whose end is not reported is sent again.
+# Seconds after which a stop command is sent again if the worker has not
+# reported the completion.
 STOP_RETRY_S = 1.0
 
 
 def lease_s(state: _state.PoolState) -> float:
-    """Return the lease of tasks, in seconds."""
+    """Return the length of task leases in seconds."""
     return state.document.pool.task_lease_s
 
 
@@ -45,7 +46,7 @@
     """Reserve capacity for the next attempt of a task and start it.
 
     A claimed attempt reserves nothing yet and is not started. The task must
-    have been taken out of the waiting ones.
+    already have been removed from the waiting tasks.
     """
     job = record.job
     attempt = model.Attempt(
@@ -97,8 +98,8 @@
     if record.state is model.JobState.QUEUED:
         record.state = model.JobState.RUNNING
         if job.wait_limit_s > 0:
-            # Without it a successor would hold the wait limit against a job
-            # whose worker has failed.
+            # Without this event, the next owner would apply the wait limit to
+            # a job that has already started and whose worker has failed.
             event = _events.job_started(job.job_id, now)
             _journal.append(state, event, out)
     worker = state.workers[attempt_record.worker_id]
@@ -114,7 +115,7 @@
     attempt_record: _state.AttemptRecord,
     amount: model.Resources,
 ) -> None:
-    """Reserve an amount on the worker of an attempt.
+    """Reserve resources for an attempt on its worker.
 
     Raises
     ------
@@ -146,8 +147,8 @@
 ) -> bool:
     """Return whether a task may be evicted for more important work.
 
-    The first tasks of a service, up to its minimum, and members of a gang
-    are not evicted.
+    Members of a gang, and the first tasks of a service up to its
+    `minimum_up`, are not evicted.
     """
     policy = _state.class_config(state, record.job)
     if not policy.preemptible or record.job.urgent or _state.is_gang(record):
@@ -162,7 +163,7 @@
     report: model.AttemptReport,
     now: float,
 ) -> _state.AttemptRecord:
-    """Take over an attempt that a worker reports as running."""
+    """Adopt an attempt that a worker reports as running."""
     policy = _state.class_config(state, record.job)
     _backlog.update_estimate(state, record)
     attempt_record = _state.AttemptRecord(
@@ -203,7 +204,10 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Stop an attempt that should not run; it holds capacity until its end."""
+    """Stop an attempt that should not run.
+
+    Its capacity stays reserved until it has ended.
+    """
     attempt = report.attempt
     if attempt in state.attempts:
         out.append(
@@ -248,7 +252,7 @@
 def assume_running(
     state: _state.PoolState, record: _state.JobRecord, count: int
 ) -> None:
-    """Count tasks that may run unreported against their team's quota."""
+    """Charge a quota for tasks that may be running but are unreported."""
     record.assumed = count
     queueing.acquire(
         state.quota, record.job.team, _scale(record.job.resources, count)
@@ -258,7 +262,7 @@
 def release_assumed(
     state: _state.PoolState, record: _state.JobRecord, count: int
 ) -> None:
-    """Count tasks no more that may run unreported."""
+    """Release the quota charged for tasks assumed to be running."""
     count = min(count, record.assumed)
     if count:
         record.assumed -= count
@@ -272,7 +276,7 @@
     attempt_record: _state.AttemptRecord,
     out: list[object],
 ) -> None:
-    """Send the start of an attempt, for the first time or again."""
+    """Send or resend the start of an attempt."""
     attempt_record.starts_sent += 1
     attempt_record.in_flight = True
     attempt_record.lease_s = lease_s(state)
@@ -296,10 +300,10 @@
     *,
     checkpoint: bool,
 ) -> None:
-    """Ask a worker to stop an attempt that was sent.
+    """Tell a worker to stop an attempt whose start was sent.
 
-    Its capacity stays reserved until the worker confirms its end or its lease
-    has expired.
+    Its capacity stays reserved until the worker reports its completion or its
+    lease has expired.
     """
     if attempt_record.phase is not _state.Phase.ENDING:
         attempt_record.phase = _state.Phase.ENDING
@@ -314,7 +318,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Send the stop of an ending attempt unless one was just sent."""
+    """Send the stop of an ending attempt, unless one was sent recently."""
     if now < attempt_record.stop_sent_at + STOP_RETRY_S:
         return
     attempt_record.stop_sent_at = now
@@ -331,7 +335,7 @@
 def release(
     state: _state.PoolState, attempt_record: _state.AttemptRecord
 ) -> None:
-    """Give back what an attempt held, once it certainly runs no more."""
+    """Release the capacity of an attempt that certainly no longer runs."""
     attempt = attempt_record.attempt
     placement.release(state.cell, attempt)
     _release_quota(state, attempt_record.team, attempt_record.need)
@@ -360,7 +364,7 @@
 def expires_at(
     attempt_record: _state.AttemptRecord, worker: _state.WorkerRecord | None
 ) -> float:
-    """Return when an attempt has certainly lapsed; infinite if unknown."""
+    """Return when an attempt's leases expire; infinity if unknown."""
     if (
         attempt_record.phase is _state.Phase.CLAIMED
         or attempt_record.in_flight
@@ -378,7 +382,7 @@
     record: _state.JobRecord,
     attempt_record: _state.AttemptRecord,
 ) -> None:
-    """Enter an attempt into the indexes."""
+    """Add an attempt to the indexes and counts."""
     attempt = attempt_record.attempt
     state.attempts[attempt] = attempt_record
     record.live[attempt.index] = attempt
@@ -394,7 +398,7 @@
 def _release_quota(
     state: _state.PoolState, team: str, amount: model.Resources
 ) -> None:
-    """Take an amount off what a team holds; it may have had no more room."""
+    """Release part of a team's quota, and unblock the team if possible."""
     queueing.release(state.quota, team, amount)
     if queueing.unblock_team(state.queue, team):
         state.blocked_lanes.clear()
@@ -402,7 +406,7 @@
 
 
 def _scale(need: model.Resources, count: int) -> model.Resources:
-    """Return a need taken several times."""
+    """Return a need multiplied by a count."""
     return model.Resources(
         cpu_millis=need.cpu_millis * count,
         memory_mb=need.memory_mb * count,
@@ -413,7 +417,7 @@
 def _update_spread(
     record: _state.JobRecord, instance: model.Instance, change: int
 ) -> None:
-    """Add to the counts of where the live attempts of a job are."""
+    """Update the numbers of live attempts by worker, rack and data centre."""
     if record.job.kind is model.JobKind.BATCH and record.job.tasks == 1:
         return
     counts = record.spread
@@ -424,7 +428,7 @@
 
 
 def _adjust_count(counts: dict, key: object, change: int) -> None:
-    """Add to a counter; a counter of 0 is removed."""
+    """Change a counter, and remove it if it reaches 0."""
     count = counts.get(key, 0) + change
     if count > 0:
         counts[key] = count
--- a/chestnuttide/jobs/_snapshot.py
+++ b/chestnuttide/jobs/_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of a pool shard, and the replay of snapshot and events."""
+"""Snapshots of a pool shard, and recovery from a snapshot and events."""
 
 import collections.abc
 import io
@@ -12,10 +12,10 @@
 from chestnuttide import model
 from chestnuttide import queueing
 
-# Version of the snapshot's layout.
+# Version of the snapshot layout.
 LAYOUT = 1
 
-# Jobs per part of a snapshot; a part takes a few milliseconds.
+# Jobs per part of a snapshot; encoding a part takes a few milliseconds.
 PART_JOBS = 200
 
 
@@ -23,15 +23,16 @@
 class _Replay:
     """Clock of a replay.
 
-    Owners have different monotonic clocks. The replay runs on one time line
-    that stands still between two owners, so ages are lower bounds.
+    Each owner has its own monotonic clock. The replay joins them to one
+    timeline, on which no time passes between two owners, so the ages that it
+    yields are lower bounds.
 
     Attributes
     ----------
     last_at : float
-        Last time seen on the current owner's clock.
+        Latest time read from the current owner's clock.
     offset : float
-        What is added to that clock to give the time line.
+        Added to that clock to convert it to the timeline.
     """
 
     last_at: float
@@ -41,8 +42,8 @@
 def encode_snapshot(state: _state.PoolState, now: float) -> bytes:
     """Return the durable state of a pool as a sequence of CBOR values.
 
-    Finished tasks are bitmaps; attempts are not included, because workers
-    report them to the next owner.
+    Finished tasks are stored as bitmaps. Attempts are left out, because
+    workers report them to the next owner.
 
     Parameters
     ----------
@@ -57,11 +58,12 @@
 def snapshot_parts(
     state: _state.PoolState, now: float
 ) -> collections.abc.Iterator[bytes]:
-    """Yield a snapshot in parts that are encoded within milliseconds each.
+    """Yield a snapshot in parts that take milliseconds each to encode.
 
-    The pool may change between two parts. The snapshot then holds each job as
-    it was at some time after the first part, so all events since the first
-    part must be replayed on it, which is harmless for those it includes.
+    The pool may change between two parts. The snapshot then contains each job
+    as it was at some time after the first part, so all events since the first
+    part must be replayed on it. Replaying an event that the snapshot already
+    includes is harmless.
 
     Parameters
     ----------
@@ -97,7 +99,7 @@
     """Rebuild jobs from a snapshot and the events after it.
 
     Replaying an event that the snapshot includes has no effect. The tasks of
-    open jobs are not yet sorted into places.
+    open jobs are not yet assigned to their states.
     """
     replay = None
     last_generation = -1
@@ -157,7 +159,7 @@
 
 
 def _decode_record(fields: list, at: float) -> _state.JobRecord:
-    """Return the job of its durable fields."""
+    """Return the job that `_encode_record` encoded."""
     job, job_state, reason, age_s, ended_s, done, count, failed_on, numbers = (
         fields
     )
@@ -207,7 +209,7 @@
     reason: str,
     at: float,
 ) -> None:
-    """Note the end of a job."""
+    """Record the end of a job."""
     record.state = job_state
     record.reason = reason
     record.ended_at = at
@@ -216,7 +218,7 @@
 
 
 def _apply_task_end(record: _state.JobRecord, fields: list) -> None:
-    """Note the end of an attempt unless it is known."""
+    """Record the completion of an attempt unless it is already known."""
     _, index, number, result, worker_id = fields
     if _state.is_done(record, index) or (
         number <= record.numbers.get(index, 0)
--- a/chestnuttide/jobs/_state.py
+++ b/chestnuttide/jobs/_state.py
@@ -12,27 +12,29 @@
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Drift of a worker's clock that is allowed for: a lease counts as expired
-# only 10% after its end.
+# Factor applied to a lease's length before it counts as expired. The extra
+# 10% allows for the drift of the worker's clock.
 LEASE_MARGIN_RATIO = 1.1
 
-# Attempt numbers of each owner start in a range of their own, so that an
-# attempt that an earlier owner started and nobody reported cannot share its
-# number with a new one.
+# Size of the range of attempt numbers that each owner allocates from. Separate
+# ranges keep an attempt that an earlier owner started, but no worker reported,
+# from sharing its number with a new attempt.
 ATTEMPT_NUMBER_STRIDE = 1 << 20
 
-# Syncs in a row without an answer after which a worker gets no new work.
+# Consecutive unanswered syncs after which a worker receives no new work.
 MAX_SYNC_FAILURES = 2
 
 _DEFAULT_CLASS = config.ClassConfig()
 
 
 class Phase(enum.Enum):
-    """Where an attempt stands.
+    """Phase of a live attempt.
 
-    ``CLAIMED`` waits for evictions and is not sent. ``STARTING`` is sent and
-    not confirmed. ``RUNNING`` is confirmed by its worker. ``ENDING`` is asked
-    to stop. All of them keep their capacity reserved.
+    ``CLAIMED``: waits for evictions; no start has been sent.
+    ``STARTING``: a start has been sent but not confirmed.
+    ``RUNNING``: confirmed by the worker.
+    ``ENDING``: the worker has been told to stop it.
+    An attempt keeps its capacity reserved in every phase.
     """
 
     CLAIMED = "claimed"
@@ -50,40 +52,40 @@
     attempt : Attempt
         The attempt.
     worker_id : str
-        Its worker.
+        Worker that runs it or is meant to run it.
     phase : Phase
-        Where it stands.
+        Current phase.
     need : Resources
-        What it holds.
+        Resources that it reserves.
     team : str
-        Team that is charged; empty if it is unknown.
-    stray : bool
-        Whether it belongs to no task that may run, and is only stopped.
+        Team that is charged; empty if unknown.
+    orphaned : bool
+        Whether no task can use it, so that it is only waiting to be stopped.
     long : bool
         Whether it counts as long work.
     cost : float
-        What its team was charged.
+        Amount charged to its team.
     started_at : float
         Time of the first start.
     expires_at : float
-        Time at which the lease of its last start, with margin, has expired;
-        minus infinity while no start may have been received.
+        Time, including the margin, at which the lease of the last start
+        expires; minus infinity if no start can have been received.
     lease_s : float
         Lease of the last start, in seconds.
     in_flight : bool
-        Whether the outcome of a start is awaited.
+        Whether the outcome of a start is pending.
     in_doubt : bool
-        Whether an unanswered start may have been received.
-    tries : int
-        Starts sent.
+        Whether the worker may have received a start that it did not answer.
+    starts_sent : int
+        Number of starts sent.
     confirmed_at : float
-        Time at which the worker confirmed it; infinite before.
+        Time at which the worker confirmed it; infinity until then.
     stop_sent_at : float
-        Time of the last stop; minus infinity for none.
+        Time of the last stop command; minus infinity if none was sent.
     checkpoint : bool
-        Whether stops ask for a checkpoint.
+        Whether stop commands request a checkpoint.
     reclaimed : bool
-        Whether it uses capacity that others do not use.
+        Whether it runs on capacity that others reserved but do not use.
     """
 
     attempt: model.Attempt
@@ -120,21 +122,21 @@
     job : Job
         The job as accepted.
     state : JobState
-        Its state.
+        Current state.
     entered_at : float
-        Time of its arrival.
+        Time of arrival.
     reason : str
         Code of the reason for a failure; empty otherwise.
     durable : bool
         Whether its acceptance is durable.
     settled : bool
-        Whether the places of its tasks are known.
-    fresh : int
+        Whether the states of its tasks are known.
+    first_unstarted : int
         Index of the first task that was never started.
     waiting : dict of int to None
-        Tasks to start again, in order.
+        Tasks to restart, in order.
     delayed : set of int
-        Tasks that wait for a backoff.
+        Tasks in backoff.
     live : dict of int to Attempt
         Attempts that may be live.
     done : bytearray
@@ -144,30 +146,30 @@
     numbers : dict of int to int
         Last attempt number by task; dropped when the task is done.
     failed_on : dict of int to dict of str to int
-        Failures by task and worker.
+        Number of failures by task and worker.
     restarts : int
-        Number of times that a gang was stopped to be queued again.
+        Number of times the gang was aborted and requeued.
     gang_serial : int
-        Number of starts of a gang.
+        Number of times the gang was started.
     aborting : bool
-        Whether a gang is being stopped to be queued again.
-    hold_after : float
-        Earliest time at which workers are held for a gang again.
+        Whether the gang is being stopped in order to be requeued.
+    next_reservation_at : float
+        Earliest time at which workers may be reserved for the gang again.
     spread : SpreadCounts
-        Where the live attempts of spread work are.
+        Numbers of live attempts by worker, rack and data centre.
     assumed : int
-        Tasks of a recovered job that may run on workers which have not
-        reported; they count against the quota of its team.
+        Tasks of a recovered job that may be running on workers that have not
+        reported yet; they count against the team's quota.
     lane : str
         Lane in the queue.
     long : bool
         Whether it counts as long work.
     cost : float
-        What its team is charged for a task.
+        Amount that its team is charged per task.
     run_s : float
-        Time in seconds within which a task probably ends.
+        Time in seconds within which a task is likely to end.
     ended_at : float
-        Time of its end; infinite before.
+        End time; infinity while the job is open.
     """
 
     job: model.Job
@@ -206,27 +208,27 @@
     Attributes
     ----------
     instance : Instance
-        The worker as listed.
+        Its entry in the instance list.
     attempts : dict of Attempt to None
         Attempts on it that may be live.
     reported : bool
         Whether it has answered a sync of this owner.
     expires_at : float
-        Time at which the leases renewed by its syncs, with margin, have
-        expired.
+        Time, including the margin, at which the leases renewed by its syncs
+        expire.
     sync_expires_at : float
-        The same for the sync whose outcome is awaited.
+        The same for the sync whose outcome is pending.
     sync_lease_s : float
-        Lease that this sync grants, in seconds.
+        Lease that the pending sync grants, in seconds.
     failures : int
-        Syncs in a row without an answer.
-    doubts : int
-        Those of them that it may have received.
+        Consecutive syncs without an answer.
+    uncertain_failures : int
+        Number of these syncs that it may nevertheless have received.
     avoided_until : float
-        Time until which it gets no new work.
+        Time until which it receives no new work.
     allows_overcommit : bool
-        Whether it takes work on reclaimed capacity.
-    lapse_timer : bool
+        Whether it accepts work on reclaimed capacity.
+    lease_check_scheduled : bool
         Whether a check of its leases is scheduled.
     claims : dict of Attempt to None
         Attempts that wait for evictions on it.
@@ -251,89 +253,93 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PoolState:
-    """Everything that one pool shard knows.
+    """In-memory state of one pool shard.
 
     Attributes
     ----------
     document : CellConfig
         The configuration in force.
     rng : random.Random
-        Source of jitter.
+        Random source for jitter.
     overcommit : bool
         Whether work that can be throttled or checkpointed may run on
-        capacity that others reserved and do not use.
+        capacity that others reserved but do not use.
     decisions_per_call : int
-        Most placing decisions per message, which bounds the time of a call.
+        Maximum number of placement decisions per message, which bounds the
+        duration of a call.
     cell : Cell
         Reservations on the workers.
     queue : FairQueue
         Jobs with tasks to start.
     quota : QuotaState
-        What each team holds.
+        Resources in use by each team.
     estimates : Estimates
         Learned run times.
     jobs : dict of str to JobRecord
-        Open jobs, and ended ones that are still readable.
+        Open jobs, and ended jobs that can still be read.
     attempts : dict of Attempt to AttemptRecord
         Attempts that may be live.
     workers : dict of str to WorkerRecord
         Known workers.
-    shut : set of str
-        Workers that get no new work.
+    unavailable : set of str
+        Workers that receive no new work.
     waiting_tasks : int
-        Tasks of open jobs that have not started.
-    long_held : Resources
-        What long work holds.
+        Number of tasks of open jobs that are neither live nor done.
+    long_reserved : Resources
+        Resources that long work reserves.
     ending : set of Attempt
-        Attempts that are asked to stop; they are not evicted once more.
+        Attempts that were told to stop; they are not evicted again.
     claims : dict of Attempt to float
-        Attempts that wait for evictions, and when they give up.
+        Attempts that wait for evictions, and the times at which they give
+        up.
     freed : dict of str to None
-        Workers whose reservations shrank since the last placing.
+        Workers whose reservations shrank since the last placement round.
     leaving : dict of str to None
         Workers that are leaving.
     unacknowledged : dict
-        Ended attempts whose end is not durable, by worker and attempt.
+        Completions that are not durable yet, by worker and attempt.
     effects : dict of int to tuple
-        What follows when an event is durable, by token.
+        Actions to carry out once an event is durable, by token.
     next_token : int
         Token of the next event.
     timers : list of Timer
-        Heap of due times.
+        Heap of timers, ordered by due time.
     timer_serial : int
-        Number of the next timer.
+        Serial number of the latest timer.
     closing : deque of str
-        Ended jobs whose attempts are to be stopped.
+        Ended jobs whose attempts have yet to be stopped.
     ended : deque of (float, str)
-        Ended jobs by time.
+        Ended jobs with their end times, oldest first.
     dirty : bool
-        Whether placing may make progress.
-    stuck : dict of str to Resources
-        Lanes whose head fits nowhere at present, and their least need.
+        Whether a placement round may make progress.
+    blocked_lanes : dict of str to Resources
+        Lanes whose head currently fits nowhere, with a lower bound of the
+        needs in the lane.
     refreshed_at : float
-        Time at which all lanes were last tried again.
-    gang_plan_at : float
+        Time at which all lanes were last unblocked.
+    next_gang_plan_at : float
         Earliest time of the next gang plan.
-    relief_at : float
-        Earliest time of the next look for overcommitted workers.
+    next_relief_at : float
+        Earliest time of the next check for overcommitted and leaving
+        workers.
     generation : int
-        Number of owners before this one that had work.
+        Number of earlier owners that had work.
     ready : bool
         Whether the takeover is durable, so that starts may be sent.
     settled : bool
-        Whether the tasks of recovered jobs are known.
+        Whether the states of recovered jobs' tasks are known.
     settle_at : float
-        Time at which unreported attempts have lapsed.
+        Time at which the leases of unreported attempts have expired.
     recovered_at : float
         Time of the takeover.
     unreported : set of str
-        Workers whose report is awaited after a takeover.
+        Workers that have yet to report after a takeover.
     stalled : bool
-        Whether the journal does not commit.
+        Whether the journal has stopped committing.
     stopping : bool
-        Whether the shard is handed over.
+        Whether the shard is being handed over.
     deposed : bool
-        Whether another owner was noticed.
+        Whether the shard is known to have another owner.
     """
 
     document: config.CellConfig
@@ -384,14 +390,14 @@
 
 
 def class_config(state: PoolState, job: model.Job) -> config.ClassConfig:
-    """Return the policy of a job's class; the defaults for an unknown one."""
+    """Return the policy of a job's class, or the default policy."""
     return state.document.workload_classes.get(
         job.workload_class, _DEFAULT_CLASS
     )
 
 
 def team_config(state: PoolState, team: str) -> config.TeamConfig:
-    """Return the limits of a team; the defaults for a removed one."""
+    """Return the limits of a team, or the defaults if it was removed."""
     return state.document.teams.get(team) or config.TeamConfig()
 
 
@@ -419,7 +425,7 @@
 
 
 def set_done(record: JobRecord, index: int) -> None:
-    """Note that a task has succeeded."""
+    """Record that a task has succeeded."""
     if is_done(record, index):
         return
     position, bit = divmod(index, 8)
@@ -437,14 +443,14 @@
 
 
 def priority(record: JobRecord) -> int:
-    """Return the priority by which work evicts other work."""
+    """Return the priority that decides which work may evict which."""
     if record.job.urgent:
         return 2
     return 1 if is_service(record) else 0
 
 
 def capacity_changed(state: PoolState) -> None:
-    """Note that waiting work may fit now."""
+    """Unblock all lanes, because waiting work may fit now."""
     state.dirty = True
     state.blocked_lanes.clear()
 
@@ -452,7 +458,7 @@
 def update_availability(
     state: PoolState, worker: WorkerRecord, now: float
 ) -> None:
-    """Open or shut a worker for new work by what is known about it."""
+    """Update whether a worker may receive new work."""
     worker_id = worker.instance.instance_id
     if (
         worker.reported
--- a/chestnuttide/jobs/_timers.py
+++ b/chestnuttide/jobs/_timers.py
@@ -1,17 +1,17 @@
-"""Due times of a pool shard."""
+"""Timers of a pool shard."""
 
 import heapq
 
 from chestnuttide.jobs import _state
 
-# Due timers handled per call, which bounds its time.
+# Timers handled per call, which bounds the duration of a call.
 TIMERS_PER_CALL = 256
 
 
 def schedule(
     state: _state.PoolState, at: float, kind: str, *arguments: object
 ) -> None:
-    """Let a timer of a kind fall due at a time."""
+    """Schedule a timer of the given kind."""
     state.timer_serial += 1
     heapq.heappush(state.timers, (at, state.timer_serial, kind, arguments))
 
--- a/chestnuttide/jobs/_views.py
+++ b/chestnuttide/jobs/_views.py
@@ -1,4 +1,4 @@
-"""Read access to the jobs of a pool."""
+"""Read-only views of a pool and its jobs."""
 
 import attrs
 
@@ -6,28 +6,28 @@
 from chestnuttide import model
 from chestnuttide import placement
 
-# Jobs per page of a listing, unless fewer are asked for.
+# Default number of jobs per page of a listing.
 PAGE_JOBS = 500
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class JobView:
-    """A job as callers see it.
+    """Job as presented to callers.
 
     Attributes
     ----------
     job : Job
         The job as accepted.
     state : JobState
-        Its state.
+        Current state.
     reason : str
         Code of the reason for its end; empty otherwise.
     waited_s : float
-        Seconds since its arrival, or until its end.
+        Seconds from its arrival until now, or until its end.
     done, running, waiting : int
-        Numbers of tasks that succeeded, hold capacity, or wait.
+        Numbers of tasks that succeeded, are live, or wait.
     workers : dict of str to int
-        Live attempts by worker.
+        Number of live attempts by worker.
     """
 
     job: model.Job
@@ -42,24 +42,24 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PoolView:
-    """Numbers about a pool.
+    """Statistics of a pool.
 
     Attributes
     ----------
     jobs : int
-        Known jobs, ended ones included.
+        Number of known jobs, including ended ones.
     waiting_tasks : int
-        Tasks of open jobs that have not started.
+        Number of tasks of open jobs that are neither live nor done.
     live_attempts : int
-        Attempts that hold capacity.
+        Number of attempts that may be live.
     workers : int
-        Workers that are live.
+        Number of live workers.
     shut_workers : int
-        Workers that get no new work.
+        Number of workers that receive no new work.
     capacity, reserved : Resources
-        Capacity of the live workers, and what is reserved.
+        Capacity of the live workers, and the part that is reserved.
     settled : bool
-        Whether the tasks of recovered jobs are known.
+        Whether the states of recovered jobs' tasks are known.
     """
 
     jobs: int
@@ -75,7 +75,7 @@
 def read_job(
     state: _state.PoolState, job_id: str, now: float
 ) -> JobView | None:
-    """Return a job, or None when it is unknown or not yet accepted."""
+    """Return a job, or None if it is unknown or not yet durable."""
     record = state.jobs.get(job_id)
     if record is None or not record.durable:
         return None
@@ -90,7 +90,7 @@
     after: str = "",
     limit: int = PAGE_JOBS,
 ) -> list[JobView]:
-    """Return a page of jobs in the order of their ids.
+    """Return a page of jobs, ordered by id.
 
     Parameters
     ----------
@@ -101,9 +101,9 @@
     team : str
         Team whose jobs are listed; empty for all.
     after : str
-        Id after which the page begins.
+        Id after which the page starts.
     limit : int
-        Most jobs to return.
+        Maximum number of jobs to return.
     """
     chosen = sorted(
         job_id
@@ -116,7 +116,7 @@
 
 
 def read_pool(state: _state.PoolState) -> PoolView:
-    """Return numbers about the pool."""
+    """Return statistics of the pool."""
     return PoolView(
         jobs=len(state.jobs),
         waiting_tasks=state.waiting_tasks,
