--- a/chestnuttide/jobs/tests/_pool.py
+++ b/chestnuttide/jobs/tests/_pool.py
@@ -1,4 +1,4 @@
-"""A pool filter with workers that have reported, for directed tests."""
+"""Pool filter with simulated worker reports, for tests of single cases."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Pool:
-    """A filter, its time, and its outputs that were not looked at."""
+    """A pool filter with its clock, all its outputs and unread starts."""
 
     state: jobs.PoolState
     run: object
@@ -77,7 +77,7 @@
 
 
 def advance(pool: Pool, seconds: float) -> list[object]:
-    """Let time pass in ticks."""
+    """Advance the clock in ticks."""
     outputs = []
     until = pool.now + seconds
     while pool.now < until - 1e-9:
--- a/chestnuttide/jobs/tests/_simulation.py
+++ b/chestnuttide/jobs/tests/_simulation.py
@@ -1,9 +1,9 @@
-"""Simulated workers, network, journal and owners around the pool filter.
+"""Simulation of workers, network, journal and owners around a pool filter.
 
-The workers obey the rules of the worker agents: they refuse old epochs, start
-each attempt once, end attempts whose lease ran out, and report ended attempts
-until they are acknowledged. They take every start, so that a start beyond
-their capacity shows up as a fault of the pool.
+The workers follow the rules of the worker agents. They reject old epochs,
+start each attempt at most once, end attempts whose leases have expired, and
+report completions until they are acknowledged. They accept every start, so
+that a start that exceeds their capacity is detected as a fault of the pool.
 """
 
 import collections.abc
@@ -132,7 +132,7 @@
 
 
 def take_over(simulation: Simulation) -> Owner:
-    """Start a new owner; calls of the old one no longer reach it."""
+    """Start a new owner, and cut the old one off from all messages."""
     if simulation.owner is not None:
         simulation.owner.alive = False
     simulation.epoch += 1
@@ -168,7 +168,7 @@
 
 
 def take_snapshot(simulation: Simulation) -> None:
-    """Store a snapshot and drop the events that it covers."""
+    """Store a snapshot, and delete the events that it includes."""
     owner = simulation.owner
     if owner is None or not owner.alive or owner.buffer:
         return
@@ -177,14 +177,14 @@
 
 
 def crash_worker(simulation: Simulation, worker_id: str) -> None:
-    """Lose all tasks of a worker, which comes back at once."""
+    """Restart a worker immediately, so that it loses all its tasks."""
     worker = simulation.workers[worker_id]
     worker.tasks.clear()
     worker.ended.clear()
 
 
 def remove_worker(simulation: Simulation, worker_id: str) -> None:
-    """Let a worker go for good."""
+    """Remove a worker permanently."""
     crash_worker(simulation, worker_id)
     worker = simulation.workers[worker_id]
     worker.partitioned_until = float("inf")
@@ -234,7 +234,7 @@
 
 
 def expire(simulation: Simulation, worker: Worker) -> None:
-    """End the tasks that are over or whose lease ran out."""
+    """End the tasks that are finished or whose leases have expired."""
     for attempt, task in list(worker.tasks.items()):
         ended_at = min(task.ends_at, task.lease_expires_at)
         if ended_at <= simulation.now:
@@ -245,7 +245,7 @@
 
 
 def check_state(state: jobs.PoolState) -> None:
-    """Check that no task is lost and all sums agree."""
+    """Check that no task is lost, and that all totals are consistent."""
     waiting = 0
     for record in state.jobs.values():
         is_open = record.state in ("queued", "running")
@@ -396,7 +396,7 @@
     answered: list[jobs.StartOutcome] = []
     lost = sent_at < max(worker.partitioned_until, worker.starts_lost_until)
     if not lost:
-        # An agent that was paused takes starts out of its buffer late.
+        # A paused agent reads starts from its socket buffer late.
         is_delayed = simulation.rng.random() < DELAYED_START_SHARE
         longest_s = MAX_START_DELAY_S if is_delayed else 0.3
         call_later(
@@ -440,7 +440,7 @@
 def _check_start(
     simulation: Simulation, worker: Worker, start: jobs.StartTask
 ) -> None:
-    """Check that a start keeps to the guarantees."""
+    """Check that a start breaks no invariant."""
     used = start.resources
     for task in worker.tasks.values():
         used = model.add(used, task.resources)
--- a/chestnuttide/jobs/tests/test_acceptance.py
+++ b/chestnuttide/jobs/tests/test_acceptance.py
@@ -20,38 +20,66 @@
 @pytest.mark.parametrize(
     ("changes", "reason"),
     [
-        pytest.param(_need(0), Reason.INVALID_VALUE, id="zero_cpu_runs"),
-        pytest.param(_need(-1), Reason.INVALID_VALUE, id="negative_cpu"),
-        pytest.param(_need(1, 0), Reason.INVALID_VALUE, id="zero_memory"),
-        pytest.param(_need(1, 1, -1), Reason.INVALID_VALUE, id="negative_acc"),
-        pytest.param({"tasks": 0}, Reason.INVALID_VALUE, id="no_tasks"),
         pytest.param(
-            {"wait_limit_s": -1.0}, Reason.INVALID_VALUE, id="negative_wait"
+            _need(0), Reason.INVALID_VALUE, id="zero_cpu_is_accepted"
+        ),
+        pytest.param(
+            _need(-1), Reason.INVALID_VALUE, id="negative_cpu_is_accepted"
+        ),
+        pytest.param(
+            _need(1, 0), Reason.INVALID_VALUE, id="zero_memory_is_accepted"
+        ),
+        pytest.param(
+            _need(1, 1, -1),
+            Reason.INVALID_VALUE,
+            id="negative_accelerators_accepted",
+        ),
+        pytest.param(
+            {"tasks": 0},
+            Reason.INVALID_VALUE,
+            id="job_without_tasks_is_accepted",
+        ),
+        pytest.param(
+            {"wait_limit_s": -1.0},
+            Reason.INVALID_VALUE,
+            id="negative_wait_limit_is_accepted",
         ),
         pytest.param(
             {"declared_run_s": float("nan")},
             Reason.INVALID_VALUE,
-            id="nan_spoils_the_queue_order",
+            id="nan_corrupts_queue_order",
+        ),
+        pytest.param(
+            {"job_id": ""}, Reason.INVALID_VALUE, id="empty_id_is_accepted"
+        ),
+        pytest.param(
+            {"team": "x"}, Reason.UNKNOWN_TEAM, id="unknown_team_is_accepted"
+        ),
+        pytest.param(
+            _need(4001), Reason.FITS_NOWHERE, id="too_large_task_waits_forever"
         ),
-        pytest.param({"job_id": ""}, Reason.INVALID_VALUE, id="empty_id"),
-        pytest.param({"team": "x"}, Reason.UNKNOWN_TEAM, id="unknown_team"),
-        pytest.param(_need(4001), Reason.FITS_NOWHERE, id="waits_for_ever"),
         pytest.param(
             {"kind": model.JobKind.GANG, "tasks": 9},
             Reason.FITS_NOWHERE,
-            id="gang_larger_than_pool_waits_for_ever",
+            id="gang_larger_than_pool_waits_forever",
         ),
         pytest.param(
             {"team": "q"} | _need(2001),
             Reason.QUOTA_EXCEEDED,
-            id="task_above_quota_waits_for_ever",
+            id="task_above_quota_waits_forever",
+        ),
+        pytest.param(
+            {"tasks": 1001}, Reason.QUEUE_FULL, id="queue_grows_without_bound"
+        ),
+        pytest.param(
+            {"job_id": "known"},
+            Reason.DUPLICATE_ID,
+            id="resubmitted_job_runs_twice",
         ),
-        pytest.param({"tasks": 1001}, Reason.QUEUE_FULL, id="queue_unbounded"),
-        pytest.param({"job_id": "known"}, Reason.DUPLICATE_ID, id="same_job"),
         pytest.param(
             {"job_id": "known", "tasks": 2},
             Reason.DUPLICATE_ID,
-            id="other_job_with_the_id_replaces_it",
+            id="job_is_replaced_by_another_with_its_id",
         ),
     ],
 )
@@ -74,12 +102,16 @@
         pytest.param(
             jobs.JournalStalled(stalled=True),
             Reason.STORE_UNAVAILABLE,
-            id="accepted_without_journal",
+            id="accepted_while_journal_stalls",
+        ),
+        pytest.param(
+            jobs.Stopping(), Reason.NOT_OWNER, id="accepted_during_handover"
         ),
-        pytest.param(jobs.Stopping(), Reason.NOT_OWNER, id="during_handover"),
     ],
 )
-def test_refused_while_unable(message: object, reason: errors.Reason) -> None:
+def test_refused_while_pool_cannot_accept(
+    message: object, reason: errors.Reason
+) -> None:
     pool = _pool.make_pool()
     _pool.send(pool, message)
     outputs = _pool.submit(pool, "j")
@@ -89,7 +121,7 @@
     )
 
 
-def test_nothing_is_answered_or_started_before_it_is_durable() -> None:
+def test_job_is_neither_answered_nor_started_before_it_is_durable() -> None:
     pool = _pool.make_pool()
     message = jobs.SubmitJob(token=7, job=_pool.make_job("j"))
     (append,) = _pool.send(pool, message, durable=False)
@@ -99,7 +131,7 @@
     assert _pool.filter_by_type(outputs, jobs.StartTask)
 
 
-def test_wait_limit_ends_only_the_wait() -> None:
+def test_wait_limit_does_not_end_running_job() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "runs", wait_limit_s=2.0, **_need(4000))
     _pool.confirm_starts(pool)
@@ -112,7 +144,7 @@
     assert jobs.read_job(pool.state, "runs", pool.now).state == "running"
 
 
-def test_ten_thousand_cancels_cost_one_event_each() -> None:
+def test_ten_thousand_cancellations_append_one_event_each() -> None:
     pool = _pool.make_pool(workers=1)
     document = pool.state.document
     _pool.submit(pool, "full", **_need(4000))
@@ -134,7 +166,7 @@
     assert pool.state.waiting_tasks == 0
 
 
-def test_cancelled_attempts_hold_capacity_until_they_end() -> None:
+def test_cancelled_attempts_reserve_capacity_until_they_end() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "first", **_need(4000))
     (start,) = _pool.confirm_starts(pool)
@@ -150,8 +182,12 @@
 @pytest.mark.parametrize(
     ("job_id", "kind"),
     [
-        pytest.param("unknown", jobs.JobRefused, id="unknown_is_accepted"),
-        pytest.param("known", jobs.JobCancelled, id="repeat_is_refused"),
+        pytest.param(
+            "unknown", jobs.JobRefused, id="unknown_job_is_cancelled"
+        ),
+        pytest.param(
+            "known", jobs.JobCancelled, id="repeated_cancellation_is_refused"
+        ),
     ],
 )
 def test_cancel_answers(job_id: str, kind: type) -> None:
@@ -162,7 +198,7 @@
     assert _pool.filter_by_type(outputs, kind)[0].token == 2
 
 
-def test_ended_jobs_are_forgotten_after_a_while() -> None:
+def test_ended_jobs_are_removed_after_retention() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "full", **_need(4000))
     _pool.submit(pool, "j", wait_limit_s=1.0)
--- a/chestnuttide/jobs/tests/test_attempts.py
+++ b/chestnuttide/jobs/tests/test_attempts.py
@@ -9,34 +9,35 @@
 
 # A lease of 10 s and its margin of 10%.
 EXPIRY_S = 11.0
-# A start without an answer may also take effect until it expires.
+# An unanswered start may take effect until it expires, and its lease starts
+# only then.
 UNCERTAIN_EXPIRY_S = EXPIRY_S + model.START_VALID_S + model.CLOCK_SKEW_S
 
 
 @pytest.mark.parametrize(
     ("outcomes", "elsewhere_after_s"),
     [
-        pytest.param(["no_capacity"], 0.0, id="refused_start_waits"),
-        pytest.param(["unsent"], 0.0, id="unsent_start_waits"),
+        pytest.param(["no_capacity"], 0.0, id="refused_start_waits_for_lease"),
+        pytest.param(["unsent"], 0.0, id="unsent_start_waits_for_lease"),
         pytest.param(
             ["unanswered", "no_capacity", "no_capacity"],
             UNCERTAIN_EXPIRY_S,
-            id="lost_start_may_still_arrive",
+            id="unanswered_start_arrives_and_runs_twice",
         ),
         pytest.param(
             ["unanswered", "unsent", "unsent"],
             UNCERTAIN_EXPIRY_S,
-            id="unsent_retry_clears_doubt",
+            id="unsent_retry_hides_unanswered_start",
         ),
         pytest.param(
             ["unanswered", "unanswered", "unanswered"],
             UNCERTAIN_EXPIRY_S,
-            id="doubt_counts_from_first_start",
+            id="expiry_counted_from_first_start",
         ),
         pytest.param(
             ["unanswered", "expired"],
             0.0,
-            id="expired_start_is_waited_for",
+            id="expired_start_waits_for_lease",
         ),
     ],
 )
@@ -69,15 +70,17 @@
 @pytest.mark.parametrize(
     ("failed", "received", "in_flight", "after_s"),
     [
-        pytest.param(False, True, False, EXPIRY_S, id="lapses_too_early"),
-        pytest.param(True, True, False, EXPIRY_S + 3.0, id="sync_may_arrive"),
+        pytest.param(False, True, False, EXPIRY_S, id="expires_too_early"),
+        pytest.param(
+            True, True, False, EXPIRY_S + 3.0, id="received_sync_not_counted"
+        ),
         pytest.param(True, False, False, EXPIRY_S, id="unsent_sync_renews"),
         pytest.param(
-            False, True, True, EXPIRY_S + 3.0, id="awaited_sync_may_arrive"
+            False, True, True, EXPIRY_S + 3.0, id="pending_sync_not_counted"
         ),
     ],
 )
-def test_silent_worker(
+def test_attempts_of_unresponsive_worker_expire(
     failed: bool, received: bool, in_flight: bool, after_s: float
 ) -> None:
     pool = _pool.make_pool()
@@ -109,9 +112,9 @@
     assert _pool.take_starts(pool)[0].worker_id != first.worker_id
 
 
-def test_silent_worker_is_not_synced_for_ever() -> None:
-    # Each sync that may arrive renews the leases, so a worker that hangs
-    # would keep its tasks.
+def test_unresponsive_worker_is_not_synced_indefinitely() -> None:
+    # Each sync that may arrive renews the leases, so a hanging worker would
+    # keep its tasks indefinitely.
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
     (first,) = _pool.confirm_starts(pool)
@@ -126,7 +129,7 @@
     assert jobs.may_sync(pool.state, first.worker_id)
 
 
-def test_end_is_acknowledged_only_when_durable() -> None:
+def test_completion_is_acknowledged_only_when_durable() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
     (start,) = _pool.confirm_starts(pool)
@@ -149,11 +152,15 @@
     ("newer_started", "state", "job_state"),
     [
         pytest.param(False, "succeeded", "succeeded", id="success_is_lost"),
-        pytest.param(False, "failed", "running", id="failure_after_lapse"),
-        pytest.param(True, "succeeded", "running", id="old_number_counts"),
+        pytest.param(
+            False, "failed", "running", id="failure_after_expiry_counts"
+        ),
+        pytest.param(
+            True, "succeeded", "running", id="superseded_attempt_counts"
+        ),
     ],
 )
-def test_late_end_of_a_lapsed_attempt(
+def test_late_completion_of_expired_attempt(
     newer_started: bool, state: str, job_state: str
 ) -> None:
     pool = _pool.make_pool(workers=2 if newer_started else 1)
@@ -177,9 +184,11 @@
 @pytest.mark.parametrize(
     ("job_id", "index", "number"),
     [
-        pytest.param("unknown", 0, 1, id="unknown_job_runs_on"),
-        pytest.param("j", 0, 9, id="second_attempt_runs_on"),
-        pytest.param("j", 5, 1, id="index_outside_the_job"),
+        pytest.param(
+            "unknown", 0, 1, id="attempt_of_unknown_job_keeps_running"
+        ),
+        pytest.param("j", 0, 9, id="second_attempt_keeps_running"),
+        pytest.param("j", 5, 1, id="index_out_of_range_keeps_running"),
     ],
 )
 def test_reports_of_unknown_attempts(
@@ -194,14 +203,14 @@
     outputs = _pool.sync(pool, other, whole)
     (stop,) = _pool.filter_by_type(outputs, jobs.StopTask)
     assert (stop.worker_id, stop.attempt) == (other, attempt)
-    # It holds its worker until it has ended.
+    # Its capacity stays reserved until it has ended.
     _pool.submit(pool, "big", resources=_pool.CAPACITY)
     assert not _pool.take_starts(pool)
     _pool.sync(pool, other, _pool.report(attempt, model.TaskState.STOPPED))
     assert [item.attempt.job_id for item in pool.starts] == ["big"]
 
 
-def test_task_lost_by_a_restarted_worker_runs_again() -> None:
+def test_task_lost_by_restarted_worker_is_restarted() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
     (start,) = _pool.confirm_starts(pool)
@@ -223,7 +232,7 @@
         if other.worker_id == start.worker_id:
             reports.append(_pool.report(other.attempt))
         outputs = _pool.sync(pool, start.worker_id, *reports)
-        assert len(failed_on) == attempts, "tried on the same worker again"
+        assert len(failed_on) == attempts, "retried on the same worker"
         if attempts < 3:
             _pool.advance(pool, 3.0)
             (start,) = _pool.confirm_starts(pool)
@@ -233,7 +242,7 @@
     assert [stop.attempt for stop in stops] == [other.attempt]
 
 
-def test_service_task_restarts_after_growing_backoff() -> None:
+def test_service_task_restarts_with_increasing_backoff() -> None:
     pool = _pool.make_pool(workers=4)
     _pool.submit(
         pool, "s", kind=model.JobKind.SERVICE, workload_class="web", tasks=1
--- a/chestnuttide/jobs/tests/test_placement_loop.py
+++ b/chestnuttide/jobs/tests/test_placement_loop.py
@@ -18,7 +18,10 @@
     start: jobs.StartTask,
     state: model.TaskState = model.TaskState.SUCCEEDED,
 ) -> list[object]:
-    """Report the end of one attempt, and all others of its worker."""
+    """Report the completion of one attempt, and its worker's others as live.
+
+    Returns the outputs of the pool.
+    """
     reports = [
         _pool.report(attempt)
         for attempt in pool.state.workers[start.worker_id].attempts
@@ -32,7 +35,7 @@
     return [start.attempt.job_id for start in starts]
 
 
-def test_quota_holds_back_only_its_team() -> None:
+def test_quota_delays_only_its_team() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "q", team="q", tasks=5)
     _pool.submit(pool, "a", team="a", tasks=2)
@@ -44,7 +47,7 @@
     assert _job_ids(_pool.take_starts(pool)) == ["q"]
 
 
-def test_large_work_hides_no_small_work() -> None:
+def test_large_work_does_not_block_small_work() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "half", resources=_half_worker())
     _pool.confirm_starts(pool)
@@ -57,8 +60,8 @@
 @pytest.mark.parametrize(
     ("short_waits", "expected"),
     [
-        pytest.param(True, ["short"], id="long_work_takes_all"),
-        pytest.param(False, ["long"], id="capacity_is_left_idle"),
+        pytest.param(True, ["short"], id="long_work_uses_the_whole_pool"),
+        pytest.param(False, ["long"], id="capacity_stays_idle"),
     ],
 )
 def test_long_work_is_bounded_while_short_work_waits(
@@ -70,7 +73,7 @@
     )
     starts = _pool.confirm_starts(pool)
     assert len(starts) == 4
-    # Long work has aged, so that only its share holds it back.
+    # The long work has aged, so that only its share of the pool limits it.
     for _ in range(8):
         _pool.advance(pool, 9.0)
         for worker_id in ("w0", "w1"):
@@ -91,7 +94,7 @@
 @pytest.mark.parametrize(
     ("changes", "evicts"),
     [
-        pytest.param({"urgent": True}, True, id="urgent_waits"),
+        pytest.param({"urgent": True}, True, id="urgent_job_waits"),
         pytest.param(
             {"kind": model.JobKind.SERVICE}, True, id="service_waits"
         ),
@@ -109,7 +112,7 @@
     assert [stop.checkpoint for stop in stops] == [True] * 2 * evicts
     if not evicts:
         return
-    # What the first victim frees goes to no other work.
+    # Capacity freed by the first victim stays reserved for the claim.
     _pool.submit(pool, "small")
     _report_completion(pool, starts[0], model.TaskState.STOPPED)
     assert not _pool.take_starts(pool)
@@ -119,7 +122,7 @@
     assert (view.state, view.waiting) == ("running", 2)
 
 
-def test_preemption_keeps_minimum_of_service_up() -> None:
+def test_preemption_keeps_minimum_of_service_running() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(
         pool,
@@ -146,11 +149,11 @@
 @pytest.mark.parametrize(
     "outcome",
     [
-        pytest.param("no_capacity", id="refused_member_leaves_part_running"),
-        pytest.param("unanswered", id="lost_member_leaves_part_running"),
+        pytest.param("no_capacity", id="refused_member_leaves_others_running"),
+        pytest.param("unanswered", id="lost_start_leaves_others_running"),
     ],
 )
-def test_gang_of_which_a_start_fails_is_stopped(outcome: str) -> None:
+def test_gang_is_stopped_if_one_start_fails(outcome: str) -> None:
     pool = _pool.make_pool(workers=2)
     _pool.submit(pool, "g", kind=model.JobKind.GANG, tasks=8)
     starts = _pool.take_starts(pool)
@@ -195,7 +198,7 @@
     pytest.fail("the gang was starved")
 
 
-def test_call_is_bounded() -> None:
+def test_decisions_per_call_are_bounded() -> None:
     pool = _pool.make_pool(workers=100)
     _pool.submit(pool, "j", tasks=300)
     first = len(_pool.take_starts(pool))
@@ -206,11 +209,11 @@
     assert not jobs.is_busy(pool.state, pool.now)
 
 
-def test_room_that_is_taken_again_is_not_offered_to_every_lane(
+def test_reused_capacity_is_not_offered_to_every_lane(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # One end of a task made the pool search for each kind of waiting need,
-    # which took several ms with some hundred kinds.
+    # The end of one task used to cause a search for each distinct waiting
+    # need, which took several ms with a few hundred distinct needs.
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "full", tasks=2, resources=_half_worker())
     starts = _pool.confirm_starts(pool)
@@ -232,7 +235,7 @@
     assert len(searches) <= 2
 
 
-def test_leaving_worker_gets_nothing_and_loses_its_services() -> None:
+def test_leaving_worker_gets_no_work_and_loses_services() -> None:
     pool = _pool.make_pool(workers=2)
     _pool.submit(pool, "s", kind=model.JobKind.SERVICE)
     (start,) = _pool.confirm_starts(pool)
@@ -265,8 +268,9 @@
     assert _pool.filter_by_type(outputs, jobs.ThrottleTask)[0].share == 1.0
 
 
-def test_gangs_start_together_in_the_world() -> None:
-    # Members whose starts are lost must not leave the others running alone.
+def test_gangs_start_together_despite_lost_starts() -> None:
+    # If the starts of some members are lost, the others must not keep
+    # running without them.
     def decide(
         simulation: _simulation.Simulation, attempt: model.Attempt
     ) -> tuple[float, model.TaskState]:
--- a/chestnuttide/jobs/tests/test_properties.py
+++ b/chestnuttide/jobs/tests/test_properties.py
@@ -141,19 +141,19 @@
     derandomize=True,
     max_examples=60,
     deadline=None,
-    # Shrinking would run the simulation some hundred times more.
+    # Shrinking would repeat the simulation several hundred times.
     phases=[hypothesis.Phase.explicit, hypothesis.Phase.generate],
     suppress_health_check=list(hypothesis.HealthCheck),
 )
 @hypothesis.given(
     submissions=JOBS, faults=FAULTS, seed=strategies.integers(0, 999)
 )
-def test_guarantees_hold_under_faults(
+def test_invariants_hold_under_faults(
     submissions: list[tuple], faults: list[tuple], seed: int
 ) -> None:
-    # The world asserts at each start that no task runs twice, that no worker
-    # is over capacity and that no team is over quota; and at each tick that
-    # no task is lost.
+    # The simulation asserts at each start that no task runs twice, that no
+    # worker exceeds its capacity and that no team exceeds its quota. At each
+    # tick, it asserts that no task is lost.
     simulation = _simulation.make_simulation(DOCUMENT, [CAPACITY] * 4, seed)
     simulation.decide = _decide
     for number, fields in enumerate(submissions):
--- a/chestnuttide/jobs/tests/test_recovery.py
+++ b/chestnuttide/jobs/tests/test_recovery.py
@@ -13,7 +13,7 @@
 
 
 def _make_successor(pool: _pool.Pool, workers: int = 2) -> _pool.Pool:
-    """Return the next owner's pool, none of whose workers has reported."""
+    """Return the next owner's pool, before any of its workers reports."""
     return _pool.make_pool(
         workers=workers, events=_events(pool), reported=False
     )
@@ -39,8 +39,8 @@
 @pytest.mark.parametrize(
     ("reporting", "after_s"),
     [
-        pytest.param(["w0", "w1"], 0.0, id="waits_though_all_reported"),
-        pytest.param(["w0"], 14.0, id="starts_before_leases_expired"),
+        pytest.param(["w0", "w1"], 0.0, id="waits_after_all_have_reported"),
+        pytest.param(["w0"], 14.0, id="starts_before_leases_expire"),
     ],
 )
 def test_recovered_tasks_wait_for_reports(
@@ -52,7 +52,7 @@
     successor = _make_successor(pool)
     for worker_id in reporting:
         _pool.sync(successor, worker_id)
-    # A new job cannot run anywhere yet, so it need not wait.
+    # A new job cannot be running anywhere, so it need not wait for reports.
     _pool.submit(successor, "new")
     started = {start.attempt.job_id for start in _pool.take_starts(successor)}
     assert started == ({"new"} if after_s else {"old", "new"})
@@ -89,8 +89,9 @@
     assert (view.running, view.waiting) == (2, 0)
 
 
-def test_attempt_numbers_of_owners_never_meet() -> None:
-    # The second owner starts a task whose first attempt nobody reported.
+def test_attempt_numbers_of_owners_never_collide() -> None:
+    # Each later owner starts the task although no worker has reported its
+    # earlier attempts.
     pool = _pool.make_pool()
     _pool.submit(pool, "j")
     numbers = [start.attempt.number for start in _pool.confirm_starts(pool)]
@@ -109,11 +110,11 @@
 @pytest.mark.parametrize(
     "with_snapshot",
     [
-        pytest.param(False, id="events_alone"),
-        pytest.param(True, id="snapshot_alone"),
+        pytest.param(False, id="state_is_lost_from_events"),
+        pytest.param(True, id="state_is_lost_from_snapshot"),
     ],
 )
-def test_durable_state_survives(with_snapshot: bool) -> None:
+def test_durable_state_survives_takeover(with_snapshot: bool) -> None:
     pool = _pool.make_pool(workers=4)
     _pool.submit(pool, "part", tasks=9)
     _pool.submit(pool, "cancelled")
@@ -189,7 +190,7 @@
     assert "new" in states
 
 
-def test_wait_goes_on_after_a_takeover() -> None:
+def test_wait_limit_continues_across_takeover() -> None:
     pool = _pool.make_pool(workers=1)
     _pool.submit(pool, "full", resources=_pool.CAPACITY)
     (start,) = _pool.confirm_starts(pool)
@@ -210,7 +211,7 @@
     assert jobs.read_job(successor.state, "j", successor.now).state == "failed"
 
 
-def test_quota_counts_work_that_is_not_reported_yet() -> None:
+def test_quota_includes_unreported_work_after_takeover() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "old", team="q", tasks=2)
     (first, second) = _pool.confirm_starts(pool)
@@ -227,7 +228,7 @@
     assert [s.attempt.job_id for s in _pool.take_starts(successor)] == ["new"]
 
 
-def test_incomplete_gang_is_stopped_after_a_takeover() -> None:
+def test_incomplete_gang_is_stopped_after_takeover() -> None:
     pool = _pool.make_pool()
     _pool.submit(pool, "g", kind=model.JobKind.GANG, tasks=8)
     starts = _pool.confirm_starts(pool)
@@ -245,7 +246,7 @@
     assert not _pool.take_starts(successor)
 
 
-def test_listing_pages_by_id_and_team() -> None:
+def test_job_list_is_paged_by_id_and_filtered_by_team() -> None:
     pool = _pool.make_pool()
     for number in range(5):
         team = "a" if number % 2 else "q"
--- a/chestnuttide/jobs/tests/test_stalled_journal.py
+++ b/chestnuttide/jobs/tests/test_stalled_journal.py
@@ -1,4 +1,4 @@
-"""Submissions that meet a journal that does not commit."""
+"""Submissions while the journal does not commit."""
 
 import random
 
@@ -38,7 +38,7 @@
             {"a": UNKNOWN},
             [],
             [],
-            id="a caller waits in vain for an event that cannot commit",
+            id="a caller waits forever for an event that cannot commit",
         ),
         pytest.param(
             [submit("a"), STALL, "durable"],
@@ -52,21 +52,21 @@
             {"a": NOT_RUN},
             [],
             [],
-            id="a job is taken that cannot be made durable",
+            id="a job that cannot be made durable is accepted",
         ),
         pytest.param(
             [submit("a"), STALL, "durable", RESUME, submit("b"), "durable"],
             {"a": UNKNOWN},
             ["b"],
             ["a", "b"],
-            id="jobs are refused after the outage",
+            id="jobs are still refused after the journal resumes",
         ),
         pytest.param(
             [submit("a"), RESUME, "durable"],
             {},
             ["a"],
             ["a"],
-            id="a submission is answered although the journal commits",
+            id="a submission is refused although the journal commits",
         ),
     ],
 )
