--- a/chestnuttide/jobs/_acceptance.py
+++ b/chestnuttide/jobs/_acceptance.py
@@ -24,7 +24,7 @@
     """Refuse a job, or journal it and answer once its event is durable."""
     job = message.job
     try:
-        _check(state, job)
+        _check_acceptable(state, job)
     except errors.RefusedError as error:
         _refuse(message.token, error, out)
         return
@@ -176,7 +176,7 @@
     out.append(_messages.Refused(reason=error.reason))
 
 
-def _check(state: _state.PoolState, job: model.Job) -> None:
+def _check_acceptable(state: _state.PoolState, job: model.Job) -> None:
     """Raise an error if a job cannot be accepted."""
     if state.stopping or state.deposed:
         raise errors.RefusedError(
--- a/chestnuttide/jobs/_attempts.py
+++ b/chestnuttide/jobs/_attempts.py
@@ -306,7 +306,7 @@
     ):
         placement.remove_worker(state.cell, worker_id)
         state.workers.pop(worker_id, None)
-        state.unavailable.discard(worker_id)
+        state.unavailable_workers.discard(worker_id)
         state.leaving.pop(worker_id, None)
 
 
--- a/chestnuttide/jobs/_backlog.py
+++ b/chestnuttide/jobs/_backlog.py
@@ -190,7 +190,8 @@
     return [
         placement.free_of(state.cell, worker_id)
         for worker_id in worker_ids
-        if worker_id not in state.unavailable and worker_id in state.workers
+        if worker_id not in state.unavailable_workers
+        and worker_id in state.workers
     ]
 
 
--- a/chestnuttide/jobs/_outcomes.py
+++ b/chestnuttide/jobs/_outcomes.py
@@ -60,7 +60,7 @@
     queueing.cancel(state.queue, job_id)
     if placement.held_key(state.cell) == job_id:
         placement.release_hold(state.cell)
-        _state.capacity_changed(state)
+        _state.mark_capacity_changed(state)
     if record.live:
         state.closing.append(job_id)
     state.ended.append((now, job_id))
@@ -104,7 +104,7 @@
         state.closing.popleft()
 
 
-def forget_ended(state: _state.PoolState, now: float) -> None:
+def remove_ended(state: _state.PoolState, now: float) -> None:
     """Remove ended jobs that are too old or too many."""
     for _ in range(min(len(state.ended), STOPS_PER_CALL)):
         ended_at, job_id = state.ended[0]
@@ -167,7 +167,7 @@
             now=now,
         )
         if ejected != placement.is_ejected(state.cell, worker_id):
-            _state.capacity_changed(state)
+            _state.mark_capacity_changed(state)
     if _state.is_service(record):
         _restart_service_task(
             state,
@@ -190,7 +190,9 @@
             return
         out.append(_messages.Retried(reason=errors.RetryReason.TASK_FAILED))
     else:
-        out.append(_messages.Retried(reason=_reason(report, stop_requested)))
+        out.append(
+            _messages.Retried(reason=_retry_reason(report, stop_requested))
+        )
     if _state.is_gang(record):
         record.waiting[index] = None
         if record.settled:
@@ -305,7 +307,9 @@
         model.TaskState.FAILED,
     )
     if not ended_itself:
-        out.append(_messages.Retried(reason=_reason(report, stop_requested)))
+        out.append(
+            _messages.Retried(reason=_retry_reason(report, stop_requested))
+        )
         _backlog.requeue_task(state, record, index)
         return
     out.append(_messages.Retried(reason=errors.RetryReason.TASK_FAILED))
@@ -316,7 +320,7 @@
     delay_task(state, record, index, failures, now)
 
 
-def _reason(
+def _retry_reason(
     report: model.AttemptReport, stop_requested: bool
 ) -> errors.RetryReason:
     """Return why a task that did not fail is restarted."""
--- a/chestnuttide/jobs/_placement_loop.py
+++ b/chestnuttide/jobs/_placement_loop.py
@@ -23,7 +23,7 @@
 REFRESH_S = 0.25
 
 # Result of `_try_job` for a job whose team has reached its quota.
-_BLOCKED = -1
+_QUOTA_BLOCKED = -1
 
 
 def place(state: _state.PoolState, now: float, out: list[object]) -> None:
@@ -33,7 +33,7 @@
     if now >= state.refreshed_at + REFRESH_S:
         state.refreshed_at = now
         if state.queue.items:
-            _state.capacity_changed(state)
+            _state.mark_capacity_changed(state)
     freed = _preemption.fill_claims(state, now, out)
     unblocked = _backlog.unblock_lanes(state, freed)
     if not state.dirty:
@@ -41,7 +41,7 @@
     budget = state.decisions_per_call
     preemptions = [PREEMPTIONS_PER_CALL]
     while budget > 0:
-        skipped = state.blocked_lanes.keys() | _long_to_skip(state)
+        skipped = state.blocked_lanes.keys() | _long_lanes_to_skip(state)
         heads = queueing.candidates(state.queue, 1, skipped_lanes=skipped)
         if not heads:
             state.dirty = False
@@ -54,7 +54,7 @@
             _backlog.reblock_lanes(state, unblocked, freed)
 
 
-def _long_to_skip(state: _state.PoolState) -> set[str]:
+def _long_lanes_to_skip(state: _state.PoolState) -> set[str]:
     """Return the lanes of long work that must wait for short work.
 
     All lanes of long work must wait while long work uses its whole share of
@@ -87,14 +87,14 @@
     record = state.jobs[item.key]
     if _state.is_gang(record):
         if not _within_quota(state, record, _gangs.need_of(record)):
-            return _BLOCKED
+            return _QUOTA_BLOCKED
         return _gangs.place(
             state, record, _excluded(state, record, None), now, out
         )
     started = 0
     while started < MAX_BURST_TASKS and _state.pending(record):
         if not _within_quota(state, record, record.job.resources):
-            started = started or _BLOCKED
+            started = started or _QUOTA_BLOCKED
             break
         if not _try_task(state, record, now, out, preemptions):
             break
@@ -210,8 +210,8 @@
     else:
         avoided = set(failed_on)
     if not avoided or not _fits_elsewhere(state, record, avoided):
-        return state.unavailable
-    return state.unavailable | avoided
+        return state.unavailable_workers
+    return state.unavailable_workers | avoided
 
 
 def _fits_elsewhere(
--- a/chestnuttide/jobs/_pool.py
+++ b/chestnuttide/jobs/_pool.py
@@ -43,7 +43,7 @@
         _recovery.settle_if_known(state, now, out)
         _outcomes.stop_closing(state, now, out)
         if isinstance(message, _messages.Tick):
-            _outcomes.forget_ended(state, now)
+            _outcomes.remove_ended(state, now)
             _preemption.relieve(state, now, out)
         _placement_loop.place(state, now, out)
         return out
@@ -113,7 +113,7 @@
     )
     for team in list(state.queue.teams):
         queueing.unblock_team(state.queue, team)
-    _state.capacity_changed(state)
+    _state.mark_capacity_changed(state)
 
 
 def _on_durable(
@@ -140,7 +140,7 @@
             )
         case ("owner",):
             state.ready = True
-            _state.capacity_changed(state)
+            _state.mark_capacity_changed(state)
 
 
 def _on_timer(
--- a/chestnuttide/jobs/_preemption.py
+++ b/chestnuttide/jobs/_preemption.py
@@ -53,7 +53,7 @@
     bool
         Whether victims were found.
     """
-    victims = _choose(state, record, now)
+    victims = _choose_victims(state, record, now)
     if victims is None:
         return False
     worker_id, attempts = victims
@@ -166,7 +166,7 @@
     )
 
 
-def _choose(
+def _choose_victims(
     state: _state.PoolState, record: _state.JobRecord, now: float
 ) -> tuple[str, list[model.Attempt]] | None:
     """Choose victims without leaving any service below its minimum."""
@@ -177,7 +177,7 @@
             need=record.job.resources,
             priority=_state.priority(record),
             now=now,
-            excluded=state.unavailable,
+            excluded=state.unavailable_workers,
             protected=protected,
         )
         if found is None:
@@ -227,7 +227,7 @@
     worker_id = attempt_record.worker_id
     if (
         worker.instance.state is not model.InstanceState.LIVE
-        or worker_id in state.unavailable
+        or worker_id in state.unavailable_workers
         or not _attempts.may_send_starts(state)
     ):
         _attempts.drop_claim(state, attempt_record, now)
--- a/chestnuttide/jobs/_recovery.py
+++ b/chestnuttide/jobs/_recovery.py
@@ -96,7 +96,7 @@
         _state.update_availability(state, worker, now)
         _attempts.schedule_lease_check(state, worker)
         _attempts.remove_if_gone(state, worker)
-    _state.capacity_changed(state)
+    _state.mark_capacity_changed(state)
 
 
 def settle_if_known(
@@ -116,7 +116,7 @@
             _settle(state, record, now, out)
     for worker in list(state.workers.values()):
         _attempts.remove_if_gone(state, worker)
-    _state.capacity_changed(state)
+    _state.mark_capacity_changed(state)
 
 
 def _settle(
--- a/chestnuttide/jobs/_state.py
+++ b/chestnuttide/jobs/_state.py
@@ -281,7 +281,7 @@
         Attempts that may be live.
     workers : dict of str to WorkerRecord
         Known workers.
-    unavailable : set of str
+    unavailable_workers : set of str
         Workers that receive no new work.
     waiting_tasks : int
         Number of tasks of open jobs that are neither live nor done.
@@ -355,7 +355,7 @@
     jobs: dict[str, JobRecord] = attrs.field(factory=dict)
     attempts: dict[model.Attempt, AttemptRecord] = attrs.field(factory=dict)
     workers: dict[str, WorkerRecord] = attrs.field(factory=dict)
-    unavailable: set[str] = attrs.field(factory=set)
+    unavailable_workers: set[str] = attrs.field(factory=set)
     waiting_tasks: int = 0
     long_reserved: model.Resources = model.ZERO
     ending: set[model.Attempt] = attrs.field(factory=set)
@@ -449,7 +449,7 @@
     return 1 if is_service(record) else 0
 
 
-def capacity_changed(state: PoolState) -> None:
+def mark_capacity_changed(state: PoolState) -> None:
     """Unblock all lanes, because waiting work may fit now."""
     state.dirty = True
     state.blocked_lanes.clear()
@@ -465,8 +465,8 @@
         and worker.failures < MAX_SYNC_FAILURES
         and now >= worker.avoided_until
     ):
-        if worker_id in state.unavailable:
-            state.unavailable.discard(worker_id)
-            capacity_changed(state)
+        if worker_id in state.unavailable_workers:
+            state.unavailable_workers.discard(worker_id)
+            mark_capacity_changed(state)
     else:
-        state.unavailable.add(worker_id)
+        state.unavailable_workers.add(worker_id)
--- a/chestnuttide/jobs/_views.py
+++ b/chestnuttide/jobs/_views.py
@@ -122,7 +122,7 @@
         waiting_tasks=state.waiting_tasks,
         live_attempts=len(state.attempts),
         workers=placement.worker_count(state.cell),
-        shut_workers=len(state.unavailable),
+        shut_workers=len(state.unavailable_workers),
         capacity=placement.capacity_total(state.cell),
         reserved=placement.reserved_total(state.cell),
         settled=state.settled,
