--- a/chestnuttide/jobs/_backlog.py
+++ b/chestnuttide/jobs/_backlog.py
@@ -1,4 +1,4 @@
-"""Jobs with tasks to start, and their place in the queue."""
+"""Jobs with tasks to start, and their lanes in the queue."""
 
 import collections.abc
 import math
@@ -8,25 +8,25 @@
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Run time in seconds for which a team is charged at most when a task starts.
-# Services do not end, and a wrong estimate must not shut a team out.
+# Maximum run time in seconds that a team is charged for when a task starts.
+# Services never end, and a wrong estimate must not starve a team.
 MAX_CHARGED_S = 600.0
 
-# Significant bits of a need that tell lanes apart. Needs in one lane differ by
-# at most an eighth, and a pool has some dozens of lanes.
+# Number of significant bits of a need that distinguish lanes. Needs in one
+# lane differ by at most an eighth, and a pool has a few dozen lanes.
 LANE_BITS = 3
 
-# Run times in seconds above which lanes are not told apart.
+# Longest run time in seconds that distinguishes lanes.
 LONGEST_RUN_S = 1e5
 
-# Smallest charge for a task, so that its team moves on.
+# Smallest charge for a task. Each start must advance its team in the order.
 MIN_COST = 1e-6
 
 
-def expectation(
+def expected_run(
     state: _state.PoolState, job: model.Job
 ) -> queueing.Expectation:
-    """Return the expected run time of a task; infinite for services."""
+    """Return the expected run time of a task; infinity for services."""
     if job.kind is model.JobKind.SERVICE:
         return queueing.Expectation(
             median_s=math.inf, p90_s=math.inf, learned=False
@@ -39,12 +39,12 @@
 def cost(
     state: _state.PoolState, need: model.Resources, run_s: float
 ) -> float:
-    """Return the share of the pool times the seconds that work takes."""
+    """Return the cost of work: its share of the pool times its run time."""
     return max(share(state, need) * min(run_s, MAX_CHARGED_S), MIN_COST)
 
 
 def share(state: _state.PoolState, amount: model.Resources) -> float:
-    """Return the largest share of the pool over the dimensions."""
+    """Return the largest share of the pool over all resource dimensions."""
     total = placement.capacity_total(state.cell)
     return max(
         amount.cpu_millis / max(total.cpu_millis, 1),
@@ -54,7 +54,7 @@
 
 
 def enqueue(state: _state.PoolState, record: _state.JobRecord) -> None:
-    """Queue a job that has tasks to start, unless it is queued."""
+    """Queue a job that has tasks to start, unless it is already queued."""
     job = record.job
     if (
         job.job_id in state.queue.items
@@ -68,7 +68,7 @@
         record.aborting or record.live or record.delayed
     ):
         return
-    expected_s = estimate(state, record)
+    expected_s = update_estimate(state, record)
     tasks = _state.pending(record) if _state.is_gang(record) else 1
     queueing.push(
         state.queue,
@@ -87,22 +87,24 @@
     state.dirty = True
 
 
-def estimate(state: _state.PoolState, record: _state.JobRecord) -> float:
-    """Estimate a job's run time, and what follows from it.
+def update_estimate(
+    state: _state.PoolState, record: _state.JobRecord
+) -> float:
+    """Update a job's estimated run time, cost and lane.
 
-    Work of nearly the same need, importance and run time shares a lane of the
-    queue. When its head fits nowhere, hardly anything else in the lane does,
-    so the lane is left and hides no other. Urgent work and services are never
-    long.
+    Work of similar need, priority and run time shares a lane of the queue. If
+    the head of a lane fits nowhere, hardly anything else in the lane does, so
+    the whole lane is skipped and does not block other lanes. Urgent work and
+    services never count as long.
 
     Returns
     -------
     float
-        Expected run time in seconds; infinite for services.
+        Expected run time in seconds; infinity for services.
     """
     job = record.job
     need = job.resources
-    expected = expectation(state, job)
+    expected = expected_run(state, job)
     record.run_s = expected.p90_s
     record.cost = cost(state, need, expected.median_s)
     record.long = (
@@ -126,115 +128,118 @@
 
 
 def is_long(lane: str) -> bool:
-    """Return whether a lane holds long work."""
+    """Return whether a lane contains long work."""
     return lane.startswith("long/")
 
 
-def stick(state: _state.PoolState, record: _state.JobRecord) -> None:
-    """Leave the lane of a job that fits nowhere, until room is freed."""
-    state.stuck[record.lane] = _floor_need(record.job.resources)
+def block_lane(state: _state.PoolState, record: _state.JobRecord) -> None:
+    """Skip the lane of a job that fits nowhere, until capacity is freed."""
+    state.blocked_lanes[record.lane] = _floor_need(record.job.resources)
 
 
-def unstick(
+def unblock_lanes(
     state: _state.PoolState, worker_ids: collections.abc.Iterable[str]
 ) -> dict[str, model.Resources]:
-    """Try the lanes again that may fit a worker on which room was freed.
+    """Unblock the lanes that may fit workers on which capacity was freed.
 
     Returns
     -------
     dict of str to Resources
-        Least need of each of these lanes.
+        The unblocked lanes, each with a lower bound of the needs in it.
     """
-    frees = _frees(state, worker_ids)
-    if not frees:
+    free_capacities = _free_capacities(state, worker_ids)
+    if not free_capacities:
         return {}
-    loose = {
+    unblocked = {
         lane: need
-        for lane, need in state.stuck.items()
-        if any(model.fits(need, free) for free in frees)
+        for lane, need in state.blocked_lanes.items()
+        if any(model.fits(need, free) for free in free_capacities)
     }
-    for lane in loose:
-        del state.stuck[lane]
+    for lane in unblocked:
+        del state.blocked_lanes[lane]
         state.dirty = True
-    return loose
+    return unblocked
 
 
-def stick_again(
+def reblock_lanes(
     state: _state.PoolState,
-    loose: dict[str, model.Resources],
+    unblocked: dict[str, model.Resources],
     worker_ids: collections.abc.Iterable[str],
 ) -> None:
-    """Leave lanes again whose room another task has taken meanwhile.
+    """Block lanes again if other tasks have since used the freed capacity.
 
     Parameters
     ----------
     state : PoolState
         The pool.
-    loose : dict of str to Resources
-        What `unstick` returned; lanes that are left again are removed.
+    unblocked : dict of str to Resources
+        Result of `unblock_lanes`; lanes that are blocked again are removed.
     worker_ids : iterable of str
-        The workers on which room was freed.
+        The workers on which capacity was freed.
     """
-    frees = _frees(state, worker_ids)
-    for lane, need in list(loose.items()):
-        if not any(model.fits(need, free) for free in frees):
-            del loose[lane]
-            state.stuck[lane] = need
+    free_capacities = _free_capacities(state, worker_ids)
+    for lane, need in list(unblocked.items()):
+        if not any(model.fits(need, free) for free in free_capacities):
+            del unblocked[lane]
+            state.blocked_lanes[lane] = need
 
 
-def _frees(
+def _free_capacities(
     state: _state.PoolState, worker_ids: collections.abc.Iterable[str]
 ) -> list[model.Resources]:
     return [
         placement.free_of(state.cell, worker_id)
         for worker_id in worker_ids
-        if worker_id not in state.shut and worker_id in state.workers
+        if worker_id not in state.unavailable_workers
+        and worker_id in state.workers
     ]
 
 
-def wait_again(
+def requeue_task(
     state: _state.PoolState, record: _state.JobRecord, index: int
 ) -> None:
-    """Let a task wait for its next start."""
+    """Put a task back among the waiting ones."""
     record.waiting[index] = None
     enqueue(state, record)
 
 
-def take_task(record: _state.JobRecord) -> int | None:
-    """Take the next task that waits; tasks that ran before come first."""
+def pop_task(record: _state.JobRecord) -> int | None:
+    """Remove and return the next waiting task; restarts come first."""
     if record.waiting:
         index = next(iter(record.waiting))
         del record.waiting[index]
         return index
-    if record.fresh < record.job.tasks:
-        record.fresh += 1
-        return record.fresh - 1
+    if record.first_unstarted < record.job.tasks:
+        record.first_unstarted += 1
+        return record.first_unstarted - 1
     return None
 
 
 def withdraw_task(
     state: _state.PoolState, record: _state.JobRecord, index: int
 ) -> None:
-    """Take a given task out of wherever it waits."""
+    """Remove a given task from the tasks that wait or are in backoff."""
     record.waiting.pop(index, None)
     record.delayed.discard(index)
     if not record.settled:
         return
-    if index >= record.fresh:
-        for other in range(record.fresh, index):
+    if index >= record.first_unstarted:
+        for other in range(record.first_unstarted, index):
             record.waiting[other] = None
-        record.fresh = index + 1
-    leave_if_empty(state, record)
+        record.first_unstarted = index + 1
+    dequeue_if_empty(state, record)
 
 
-def leave_if_empty(state: _state.PoolState, record: _state.JobRecord) -> None:
-    """Take a job without tasks to start out of the queue."""
+def dequeue_if_empty(
+    state: _state.PoolState, record: _state.JobRecord
+) -> None:
+    """Remove a job from the queue if it has no tasks to start."""
     if not _state.pending(record):
         queueing.cancel(state.queue, record.job.job_id)
 
 
 def _floor_need(need: model.Resources) -> model.Resources:
-    """Return a need rounded down to what its lane is named after."""
+    """Return a need rounded down as it is in the name of its lane."""
     return model.Resources(
         cpu_millis=_floor(need.cpu_millis),
         memory_mb=_floor(need.memory_mb),
@@ -243,6 +248,6 @@
 
 
 def _floor(amount: int) -> int:
-    """Return an amount rounded down to its first significant bits."""
+    """Return an amount rounded down to its most significant bits."""
     shift = max(0, amount.bit_length() - LANE_BITS)
     return amount >> shift << shift
--- a/chestnuttide/jobs/_gangs.py
+++ b/chestnuttide/jobs/_gangs.py
@@ -1,8 +1,11 @@
-"""Gangs: all tasks start at once or none, with one reservation at a time."""
+"""Gangs, whose tasks start all at once or not at all.
+
+Workers are reserved for at most one gang at a time.
+"""
 
 from chestnuttide.jobs import _backlog
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _outcomes
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
 from chestnuttide import model
@@ -12,13 +15,13 @@
 # Seconds within which all members of a gang must be confirmed.
 GANG_START_S = 3.0
 
-# Seconds between two plans of a reservation. A plan looks at the expected
-# ends of all attempts, so it is not made for each decision.
+# Minimum seconds between two plans of a reservation. A plan examines the
+# expected end times of all attempts, which is too expensive for each decision.
 PLAN_INTERVAL_S = 1.0
 
 
 def need_of(record: _state.JobRecord) -> model.Resources:
-    """Return what all tasks of a gang that are to start need together."""
+    """Return the total need of a gang's tasks that are yet to start."""
     need = record.job.resources
     count = _state.pending(record)
     return model.Resources(
@@ -61,9 +64,11 @@
         placement.release_hold(state.cell)
     record.gang_serial += 1
     for worker_id in worker_ids:
-        index = _backlog.take_task(record)
+        index = _backlog.pop_task(record)
         if index is not None:
-            _holding.begin(state, record, index, worker_id, now, out)
+            _reservations.start_attempt(
+                state, record, index, worker_id, now, out
+            )
     _timers.schedule(
         state,
         now + GANG_START_S,
@@ -81,7 +86,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Break a gang of which not all members were confirmed in time."""
+    """Abort a gang if some members were not confirmed in time."""
     record = state.jobs.get(job_id)
     if (
         record is None
@@ -93,7 +98,7 @@
         state.attempts[attempt].phase is _state.Phase.STARTING
         for attempt in record.live.values()
     ):
-        _outcomes.break_gang(state, record, now, out)
+        _outcomes.abort_gang(state, record, now, out)
 
 
 def on_backoff_timer(state: _state.PoolState, job_id: str) -> None:
@@ -113,15 +118,15 @@
     excluded: set[str],
     now: float,
 ) -> None:
-    """Hold workers for a gang, if none are held for another one."""
+    """Reserve workers for a gang, unless another gang has a reservation."""
     if (
         placement.held_key(state.cell) is not None
-        or now < state.gang_plan_at
-        or now < record.hold_after
+        or now < state.next_gang_plan_at
+        or now < record.next_reservation_at
     ):
         return
     limit_s = state.document.pool.gang_reservation_s
-    state.gang_plan_at = now + PLAN_INTERVAL_S
+    state.next_gang_plan_at = now + PLAN_INTERVAL_S
     plan = placement.plan_gang_reservation(
         state.cell,
         need=record.job.resources,
@@ -133,5 +138,6 @@
     if plan is None:
         return
     placement.hold(state.cell, plan=plan, key=record.job.job_id, now=now)
-    # After a hold that did not help, another gang has its turn first.
-    record.hold_after = now + 2 * limit_s
+    # If this reservation does not help, other gangs may reserve before this
+    # gang does so again.
+    record.next_reservation_at = now + 2 * limit_s
--- a/chestnuttide/jobs/_outcomes.py
+++ b/chestnuttide/jobs/_outcomes.py
@@ -1,35 +1,36 @@
-"""What follows from the end of an attempt or a job."""
+"""Handling of the ends of attempts and jobs."""
 
 from chestnuttide import errors
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _events
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _journal
 from chestnuttide.jobs import _messages
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
 from chestnuttide import model
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Backoff before a failed task, a service's ended task or an aborted gang is
-# started again.
+# Backoff before a failed task, an ended task of a service, or an aborted gang
+# is restarted.
 BACKOFF_BASE_S = 0.5
 BACKOFF_LIMIT_S = 30.0
 
-# A service's task that ran this long ends the row of restarts.
+# Run time in seconds after which a service's task counts as stable, so that
+# its earlier failures no longer lengthen the backoff.
 STABLE_RUN_S = 60.0
 
-# Failures in total after which a task's job fails even if they happened on
-# fewer different workers, as multiple of the allowed attempts. In a small
-# pool there may be no other worker.
+# Total number of failures of a task after which its job fails, as a multiple
+# of the allowed attempts. It applies even if the failures happened on fewer
+# different workers, because a small pool may have no other worker.
 TOTAL_FAILURES_FACTOR = 2
 
-# Ended jobs stay readable for this many seconds and up to this many jobs.
-ENDED_KEEP_S = 900.0
-ENDED_KEEP_COUNT = 20_000
+# Ended jobs can be read for this many seconds, up to this number of jobs.
+ENDED_RETENTION_S = 900.0
+ENDED_RETENTION_COUNT = 20_000
 
-# Attempts of ended jobs that are asked to stop per call.
+# Attempts of ended jobs that are told to stop per call.
 STOPS_PER_CALL = 256
 
 TASK_FAILED = errors.RetryReason.TASK_FAILED.value
@@ -59,7 +60,7 @@
     queueing.cancel(state.queue, job_id)
     if placement.held_key(state.cell) == job_id:
         placement.release_hold(state.cell)
-        _state.capacity_changed(state)
+        _state.mark_capacity_changed(state)
     if record.live:
         state.closing.append(job_id)
     state.ended.append((now, job_id))
@@ -73,7 +74,7 @@
     now: float,
     out: list[object],
 ) -> None:
-    """End a job and journal it."""
+    """End a job and journal its end."""
     end_job(state, record, job_state, reason, now)
     event = _events.job_ended(record.job.job_id, job_state, reason, now)
     _journal.append(state, event, out)
@@ -82,17 +83,19 @@
 def stop_closing(
     state: _state.PoolState, now: float, out: list[object]
 ) -> None:
-    """Stop attempts of ended jobs, a bounded number per call."""
+    """Stop a bounded number of attempts of ended jobs."""
     budget = STOPS_PER_CALL
     while state.closing and budget > 0:
         record = state.jobs.get(state.closing[0])
         attempts = [] if record is None else list(record.live.values())
         for attempt in attempts:
-            held = state.attempts[attempt]
-            if held.phase is _state.Phase.CLAIMED:
-                _holding.release(state, held)
-            elif held.phase is not _state.Phase.ENDING:
-                _holding.stop(state, held, now, out, checkpoint=False)
+            attempt_record = state.attempts[attempt]
+            if attempt_record.phase is _state.Phase.CLAIMED:
+                _reservations.release(state, attempt_record)
+            elif attempt_record.phase is not _state.Phase.ENDING:
+                _reservations.stop(
+                    state, attempt_record, now, out, checkpoint=False
+                )
             else:
                 continue
             budget -= 1
@@ -101,25 +104,25 @@
         state.closing.popleft()
 
 
-def forget_ended(state: _state.PoolState, now: float) -> None:
-    """Forget jobs that ended long ago, or the oldest of too many."""
+def remove_ended(state: _state.PoolState, now: float) -> None:
+    """Remove ended jobs that are too old or too many."""
     for _ in range(min(len(state.ended), STOPS_PER_CALL)):
         ended_at, job_id = state.ended[0]
         if (
-            ended_at + ENDED_KEEP_S > now
-            and len(state.ended) <= ENDED_KEEP_COUNT
+            ended_at + ENDED_RETENTION_S > now
+            and len(state.ended) <= ENDED_RETENTION_COUNT
         ):
             return
         state.ended.popleft()
         record = state.jobs[job_id]
         if record.live:
-            # Its attempts still hold capacity.
+            # The capacity of its attempts is still reserved.
             state.ended.append((now, job_id))
         else:
             del state.jobs[job_id]
 
 
-def attempt_over(
+def on_attempt_ended(
     state: _state.PoolState,
     record: _state.JobRecord,
     report: model.AttemptReport,
@@ -127,33 +130,33 @@
     now: float,
     out: list[object],
     *,
-    asked: bool,
+    stop_requested: bool,
 ) -> None:
-    """Decide how a task goes on after an attempt ended or lapsed.
+    """Decide how a task continues after its attempt ended or expired.
 
     Parameters
     ----------
     state : PoolState
         The pool.
     record : JobRecord
-        Its job; the attempt holds nothing any more and the task is in none
-        of the places where it waits.
+        The job of the task. The attempt must already be released, and the
+        task must neither wait nor be in backoff.
     report : AttemptReport
-        How the attempt ended.
+        Outcome of the attempt.
     worker_id : str
-        Worker that ran it.
+        Worker that ran the attempt.
     now : float
         Time in seconds.
     out : list
-        Messages of this call.
-    asked : bool
-        Whether it was asked to stop.
+        Output messages of this call.
+    stop_requested : bool
+        Whether the attempt had been told to stop.
     """
     if not _state.is_open(record):
         return
     index = report.attempt.index
     succeeded = report.state is model.TaskState.SUCCEEDED
-    failed = report.state is model.TaskState.FAILED and not asked
+    failed = report.state is model.TaskState.FAILED and not stop_requested
     if succeeded or failed:
         ejected = placement.is_ejected(state.cell, worker_id)
         placement.record_outcome(
@@ -164,31 +167,41 @@
             now=now,
         )
         if ejected != placement.is_ejected(state.cell, worker_id):
-            _state.capacity_changed(state)
+            _state.mark_capacity_changed(state)
     if _state.is_service(record):
-        _restart(state, record, report, worker_id, now, out, asked=asked)
+        _restart_service_task(
+            state,
+            record,
+            report,
+            worker_id,
+            now,
+            out,
+            stop_requested=stop_requested,
+        )
         return
     if succeeded:
-        _succeed(state, record, report, now, out)
+        _record_success(state, record, report, now, out)
         return
     if failed:
-        if _count_failure(state, record, index, worker_id):
+        if _fails_job(state, record, index, worker_id):
             finish_job(
                 state, record, model.JobState.FAILED, TASK_FAILED, now, out
             )
             return
         out.append(_messages.Retried(reason=errors.RetryReason.TASK_FAILED))
     else:
-        out.append(_messages.Retried(reason=_reason(report, asked)))
+        out.append(
+            _messages.Retried(reason=_retry_reason(report, stop_requested))
+        )
     if _state.is_gang(record):
         record.waiting[index] = None
         if record.settled:
-            break_gang(state, record, now, out)
+            abort_gang(state, record, now, out)
     elif failed:
         failures = sum(record.failed_on[index].values())
         delay_task(state, record, index, failures, now)
     else:
-        _backlog.wait_again(state, record, index)
+        _backlog.requeue_task(state, record, index)
 
 
 def delay_task(
@@ -198,7 +211,7 @@
     failures: int,
     now: float,
 ) -> None:
-    """Let a task wait for a backoff before it waits for its next start."""
+    """Requeue a task after a backoff."""
     record.delayed.add(index)
     delay_s = queueing.delay_s(
         failures, state.rng, base_s=BACKOFF_BASE_S, limit_s=BACKOFF_LIMIT_S
@@ -206,28 +219,30 @@
     _timers.schedule(state, now + delay_s, "task", record.job.job_id, index)
 
 
-def break_gang(
+def abort_gang(
     state: _state.PoolState,
     record: _state.JobRecord,
     now: float,
     out: list[object],
 ) -> None:
-    """Stop a gang that cannot go on as a whole; it is queued again later.
+    """Stop a gang that cannot continue as a whole, to be requeued later.
 
-    Tasks that succeeded stay done; the others start together again.
+    Tasks that succeeded stay done; the others are restarted together.
     """
     record.aborting = True
     for attempt in list(record.live.values()):
-        held = state.attempts[attempt]
-        if held.phase is not _state.Phase.ENDING:
-            _holding.stop(state, held, now, out, checkpoint=False)
+        attempt_record = state.attempts[attempt]
+        if attempt_record.phase is not _state.Phase.ENDING:
+            _reservations.stop(
+                state, attempt_record, now, out, checkpoint=False
+            )
     requeue_gang(state, record, now)
 
 
 def requeue_gang(
     state: _state.PoolState, record: _state.JobRecord, now: float
 ) -> None:
-    """Queue an aborted gang after a backoff, once none of it is live."""
+    """Requeue an aborted gang after a backoff, once no attempt is live."""
     if (
         not record.aborting
         or record.live
@@ -238,8 +253,8 @@
     record.aborting = False
     record.restarts += 1
     record.delayed = set(record.waiting)
-    record.delayed.update(range(record.fresh, record.job.tasks))
-    record.fresh = record.job.tasks
+    record.delayed.update(range(record.first_unstarted, record.job.tasks))
+    record.first_unstarted = record.job.tasks
     record.waiting = {}
     delay_s = queueing.delay_s(
         record.restarts,
@@ -250,14 +265,14 @@
     _timers.schedule(state, now + delay_s, "gang", record.job.job_id)
 
 
-def _succeed(
+def _record_success(
     state: _state.PoolState,
     record: _state.JobRecord,
     report: model.AttemptReport,
     now: float,
     out: list[object],
 ) -> None:
-    """Note the success of a task, and the end of its job after the last."""
+    """Record the success of a task, and end its job after the last one."""
     if not _state.is_done(record, report.attempt.index):
         _state.set_done(record, report.attempt.index)
         state.waiting_tasks -= 1
@@ -275,7 +290,7 @@
         requeue_gang(state, record, now)
 
 
-def _restart(
+def _restart_service_task(
     state: _state.PoolState,
     record: _state.JobRecord,
     report: model.AttemptReport,
@@ -283,41 +298,45 @@
     now: float,
     out: list[object],
     *,
-    asked: bool,
+    stop_requested: bool,
 ) -> None:
-    """Start a service's task again, after a backoff if it ended by itself."""
+    """Restart a service's task, with a backoff if it ended by itself."""
     index = report.attempt.index
-    ended_itself = not asked and report.state in (
+    ended_itself = not stop_requested and report.state in (
         model.TaskState.SUCCEEDED,
         model.TaskState.FAILED,
     )
     if not ended_itself:
-        out.append(_messages.Retried(reason=_reason(report, asked)))
-        _backlog.wait_again(state, record, index)
+        out.append(
+            _messages.Retried(reason=_retry_reason(report, stop_requested))
+        )
+        _backlog.requeue_task(state, record, index)
         return
     out.append(_messages.Retried(reason=errors.RetryReason.TASK_FAILED))
     if report.run_s >= STABLE_RUN_S:
         record.failed_on.pop(index, None)
-    count_failure(record, index, worker_id)
+    record_failure(record, index, worker_id)
     failures = sum(record.failed_on[index].values())
     delay_task(state, record, index, failures, now)
 
 
-def _reason(report: model.AttemptReport, asked: bool) -> errors.RetryReason:
-    """Return why a task that did not fail runs again."""
-    if asked and report.state is not model.TaskState.LAPSED:
+def _retry_reason(
+    report: model.AttemptReport, stop_requested: bool
+) -> errors.RetryReason:
+    """Return why a task that did not fail is restarted."""
+    if stop_requested and report.state is not model.TaskState.LAPSED:
         return errors.RetryReason.PREEMPTED
     return errors.RetryReason.WORKER_LOST
 
 
-def _count_failure(
+def _fails_job(
     state: _state.PoolState,
     record: _state.JobRecord,
     index: int,
     worker_id: str,
 ) -> bool:
-    """Count a failure of a task; returns whether its job has failed."""
-    count_failure(record, index, worker_id)
+    """Record a failure of a task, and return whether it fails the job."""
+    record_failure(record, index, worker_id)
     failures = record.failed_on[index]
     limit = _state.class_config(state, record.job).max_attempts
     return (
@@ -326,9 +345,9 @@
     )
 
 
-def count_failure(
+def record_failure(
     record: _state.JobRecord, index: int, worker_id: str
 ) -> None:
-    """Count a failure of a task on a worker."""
+    """Record a failure of a task on a worker."""
     failures = record.failed_on.setdefault(index, {})
     failures[worker_id] = failures.get(worker_id, 0) + 1
--- a/chestnuttide/jobs/_placing.py
+++ b/chestnuttide/jobs/_placement_loop.py
@@ -1,46 +1,47 @@
-"""The loop that starts waiting tasks in the order of the queue."""
+"""Placement loop, which starts waiting tasks in the order of the queue."""
 
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _gangs
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _outcomes
 from chestnuttide.jobs import _preemption
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _state
 from chestnuttide import model
 from chestnuttide import placement
 from chestnuttide import queueing
 
-# Tasks of one job started in a row before the order is looked at again.
-BURST = 4
+# Tasks of one job that are started before the queue's order is evaluated
+# again.
+MAX_BURST_TASKS = 4
 
-# Searches for victims per call; each compares many workers.
+# Searches for victims per call; each search compares many workers.
 PREEMPTIONS_PER_CALL = 4
 
-# Seconds after which lanes without room are tried again even if no
-# capacity was freed, for example because an ejected worker may be probed.
+# Seconds after which blocked lanes are retried even if no capacity was freed,
+# for example because an ejected worker may be probed.
 REFRESH_S = 0.25
 
-# What `_try_job` returns for a job whose team is at its quota.
-_BLOCKED = -1
+# Result of `_try_job` for a job whose team has reached its quota.
+_QUOTA_BLOCKED = -1
 
 
 def place(state: _state.PoolState, now: float, out: list[object]) -> None:
-    """Start waiting tasks, up to the limit of decisions per call."""
-    if not _attempts.may_send(state):
+    """Start waiting tasks, up to the maximum number of decisions per call."""
+    if not _attempts.may_send_starts(state):
         return
     if now >= state.refreshed_at + REFRESH_S:
         state.refreshed_at = now
         if state.queue.items:
-            _state.capacity_changed(state)
-    freed = _preemption.serve_claims(state, now, out)
-    loose = _backlog.unstick(state, freed)
+            _state.mark_capacity_changed(state)
+    freed = _preemption.fill_claims(state, now, out)
+    unblocked = _backlog.unblock_lanes(state, freed)
     if not state.dirty:
         return
     budget = state.decisions_per_call
     preemptions = [PREEMPTIONS_PER_CALL]
     while budget > 0:
-        skipped = state.stuck.keys() | _long_to_skip(state)
+        skipped = state.blocked_lanes.keys() | _long_lanes_to_skip(state)
         heads = queueing.candidates(state.queue, 1, skipped_lanes=skipped)
         if not heads:
             state.dirty = False
@@ -48,19 +49,19 @@
         decided = _try_job(state, heads[0], now, out, preemptions)
         budget -= max(1, decided)
         if not decided:
-            _backlog.stick(state, state.jobs[heads[0].key])
-        elif loose:
-            _backlog.stick_again(state, loose, freed)
+            _backlog.block_lane(state, state.jobs[heads[0].key])
+        elif unblocked:
+            _backlog.reblock_lanes(state, unblocked, freed)
 
 
-def _long_to_skip(state: _state.PoolState) -> set[str]:
+def _long_lanes_to_skip(state: _state.PoolState) -> set[str]:
     """Return the lanes of long work that must wait for short work.
 
-    These are all of them while long work holds its share and short work
-    waits that its quota does not hold back.
+    All lanes of long work must wait while long work uses its whole share of
+    the pool and some short work is waiting that its quota does not block.
     """
-    held = _backlog.share(state, state.long_held)
-    if held < state.document.pool.long_share:
+    reserved_share = _backlog.share(state, state.long_reserved)
+    if reserved_share < state.document.pool.long_share:
         return set()
     lanes = {lane for _, lane in state.queue.bands if _backlog.is_long(lane)}
     if lanes and queueing.candidates(state.queue, 1, skipped_lanes=lanes):
@@ -80,25 +81,25 @@
     Returns
     -------
     int
-        Number of tasks started; 0 if none fits; below 0 if its team is at its
-        quota and was taken out of the order.
+        Number of tasks started; 0 if none fits; negative if the team has
+        reached its quota and was blocked in the queue.
     """
     record = state.jobs[item.key]
     if _state.is_gang(record):
         if not _within_quota(state, record, _gangs.need_of(record)):
-            return _BLOCKED
+            return _QUOTA_BLOCKED
         return _gangs.place(
             state, record, _excluded(state, record, None), now, out
         )
     started = 0
-    while started < BURST and _state.pending(record):
+    while started < MAX_BURST_TASKS and _state.pending(record):
         if not _within_quota(state, record, record.job.resources):
-            started = started or _BLOCKED
+            started = started or _QUOTA_BLOCKED
             break
         if not _try_task(state, record, now, out, preemptions):
             break
         started += 1
-    _backlog.leave_if_empty(state, record)
+    _backlog.dequeue_if_empty(state, record)
     return started
 
 
@@ -109,7 +110,7 @@
     out: list[object],
     preemptions: list[int],
 ) -> bool:
-    """Start the next task of a job, or evict other work for it.
+    """Start the next task of a job, or evict other work to make room for it.
 
     Returns
     -------
@@ -145,9 +146,9 @@
         if reclaimed and not state.workers[worker_id].allows_overcommit:
             worker_id = None
     if worker_id is not None:
-        index = _backlog.take_task(record)
+        index = _backlog.pop_task(record)
         if index is not None:
-            _holding.begin(
+            _reservations.start_attempt(
                 state,
                 record,
                 index,
@@ -162,8 +163,9 @@
         if _preemption.preempt(state, record, now, out):
             return True
     if failed_on:
-        # It avoids workers that others in its lane may use.
-        index = _backlog.take_task(record)
+        # The task avoids workers that other work in its lane may use, so the
+        # lane must not be blocked.
+        index = _backlog.pop_task(record)
         if index is not None:
             _outcomes.delay_task(state, record, index, 1, now)
         return True
@@ -175,7 +177,7 @@
     record: _state.JobRecord,
     need: model.Resources,
 ) -> bool:
-    """Return whether a team may hold more; block it in the queue if not."""
+    """Return whether a quota allows a need; block the team if it does not."""
     team = record.job.team
     limits = _state.team_config(state, team)
     if queueing.allows(state.quota, team, limits, need):
@@ -198,7 +200,7 @@
     record: _state.JobRecord,
     failed_on: dict[str, int] | None,
 ) -> set[str]:
-    """Return the workers that a job's next task, or a gang, avoids."""
+    """Return the workers that a job's next task, or a gang, must not use."""
     if failed_on is None:
         avoided = {
             worker_id
@@ -208,8 +210,8 @@
     else:
         avoided = set(failed_on)
     if not avoided or not _fits_elsewhere(state, record, avoided):
-        return state.shut
-    return state.shut | avoided
+        return state.unavailable_workers
+    return state.unavailable_workers | avoided
 
 
 def _fits_elsewhere(
@@ -217,10 +219,10 @@
     record: _state.JobRecord,
     avoided: set[str],
 ) -> bool:
-    """Return whether the pool has room enough without some workers.
+    """Return whether the work would fit if some workers were avoided.
 
-    A small pool has no other worker; there the task is tried again on one
-    that it failed on.
+    A small pool may have no other worker. There, a task is retried on a
+    worker on which it has failed.
     """
     count = _state.pending(record) if _state.is_gang(record) else 1
     need = record.job.resources
@@ -229,17 +231,17 @@
             worker_id not in avoided
             and worker.instance.state is model.InstanceState.LIVE
             and worker.reported
-            and worker.failures < _state.MAX_FAILURES
+            and worker.failures < _state.MAX_SYNC_FAILURES
             and not placement.is_ejected(state.cell, worker_id)
         ):
-            count -= _times(need, worker.instance.capacity)
+            count -= _fit_count(need, worker.instance.capacity)
             if count <= 0:
                 return True
     return False
 
 
-def _times(need: model.Resources, capacity: model.Resources) -> int:
-    """Return how often a need fits into a capacity."""
+def _fit_count(need: model.Resources, capacity: model.Resources) -> int:
+    """Return how many times a need fits into a capacity."""
     count = min(
         capacity.cpu_millis // need.cpu_millis,
         capacity.memory_mb // need.memory_mb,
--- a/chestnuttide/jobs/_pool.py
+++ b/chestnuttide/jobs/_pool.py
@@ -1,4 +1,4 @@
-"""The filter of one pool shard."""
+"""Message filter that makes the decisions of one pool shard."""
 
 from chestnuttide import config
 from chestnuttide.jobs import _acceptance
@@ -7,7 +7,7 @@
 from chestnuttide.jobs import _gangs
 from chestnuttide.jobs import _messages
 from chestnuttide.jobs import _outcomes
-from chestnuttide.jobs import _placing
+from chestnuttide.jobs import _placement_loop
 from chestnuttide.jobs import _preemption
 from chestnuttide.jobs import _recovery
 from chestnuttide.jobs import _state
@@ -19,49 +19,49 @@
 
 
 def make_pool_filter(*, state: _state.PoolState) -> pipes.Filter:
-    """Return the filter that decides for one pool shard.
+    """Return the filter that makes the decisions of one pool shard.
 
     Parameters
     ----------
     state : PoolState
-        State of the pool; changed by the filter.
+        State of the pool, which the filter changes.
 
     Returns
     -------
     Filter
-        Takes one input message and the time, returns output messages. A call
-        makes a bounded number of decisions; while `is_busy` holds, the caller
-        should send a `Tick` soon.
+        Takes one input message and the time, and returns output messages. A
+        call makes a bounded number of decisions. While `is_busy` returns
+        True, a `Tick` should be sent soon.
     """
     _adopt_config(state, state.document)
 
     def run(message: object, now: float) -> list[object]:
         out: list[object] = []
         _handle(state, message, now, out)
-        for kind, arguments in _timers.take_due(state, now):
+        for kind, arguments in _timers.pop_due(state, now):
             _on_timer(state, kind, arguments, now, out)
         _recovery.settle_if_known(state, now, out)
         _outcomes.stop_closing(state, now, out)
         if isinstance(message, _messages.Tick):
-            _outcomes.forget_ended(state, now)
+            _outcomes.remove_ended(state, now)
             _preemption.relieve(state, now, out)
-        _placing.place(state, now, out)
+        _placement_loop.place(state, now, out)
         return out
 
     return run
 
 
 def is_busy(state: _state.PoolState, now: float) -> bool:
-    """Return whether the last call left work that could go on at once."""
+    """Return whether there is work that another call could do immediately."""
     return bool(
         state.closing
-        or (state.dirty and _attempts.may_send(state))
+        or (state.dirty and _attempts.may_send_starts(state))
         or (state.timers and state.timers[0][0] <= now)
     )
 
 
 def next_due(state: _state.PoolState) -> float | None:
-    """Return when the next timer falls due, in seconds; None for never."""
+    """Return the due time of the next timer in seconds, or None."""
     return state.timers[0][0] if state.timers else None
 
 
@@ -98,13 +98,13 @@
         case _messages.Stopping():
             state.stopping = True
         case _:
-            raise TypeError(f"The pool filter does not take {message!r}.")
+            raise TypeError(f"The pool filter does not accept {message!r}.")
 
 
 def _adopt_config(
     state: _state.PoolState, document: config.CellConfig
 ) -> None:
-    """Adopt a configuration."""
+    """Apply a configuration."""
     state.document = document
     placement.set_limits(state.cell, document.pool)
     queueing.set_weights(
@@ -113,18 +113,18 @@
     )
     for team in list(state.queue.teams):
         queueing.unblock_team(state.queue, team)
-    _state.capacity_changed(state)
+    _state.mark_capacity_changed(state)
 
 
 def _on_durable(
     state: _state.PoolState, token: int, now: float, out: list[object]
 ) -> None:
-    """Carry out what follows from an event that is durable."""
+    """Carry out the action that waited for an event to be durable."""
     match state.effects.pop(token, None):
         case ("accept", call, job_id):
             _acceptance.on_accepted(state, call, job_id, now, out)
         case ("unanswered", job_id):
-            _acceptance.open_job(state, job_id)
+            _acceptance.queue_durable_job(state, job_id)
         case ("cancel", call, job_id):
             out.append(
                 _messages.JobCancelled(
@@ -140,7 +140,7 @@
             )
         case ("owner",):
             state.ready = True
-            _state.capacity_changed(state)
+            _state.mark_capacity_changed(state)
 
 
 def _on_timer(
@@ -150,10 +150,10 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Handle a timer that fell due."""
+    """Handle a due timer."""
     match kind:
         case "lapse":
-            _attempts.on_lapse_timer(state, *arguments, now, out)
+            _attempts.on_lease_timer(state, *arguments, now, out)
         case "start":
             _attempts.on_start_timer(state, *arguments, now, out)
         case "stop":
@@ -173,13 +173,13 @@
         case "avoid":
             worker = state.workers.get(arguments[0])
             if worker is not None:
-                _state.update_shut(state, worker, now)
+                _state.update_availability(state, worker, now)
 
 
 def _on_task_timer(state: _state.PoolState, job_id: str, index: int) -> None:
-    """Let a task wait for its next start after its backoff."""
+    """Requeue a task after its backoff."""
     record = state.jobs.get(job_id)
     if record is None or index not in record.delayed:
         return
     record.delayed.discard(index)
-    _backlog.wait_again(state, record, index)
+    _backlog.requeue_task(state, record, index)
--- a/chestnuttide/jobs/_recovery.py
+++ b/chestnuttide/jobs/_recovery.py
@@ -1,22 +1,22 @@
-"""Takeover of a pool shard, and the list of its workers."""
+"""Takeover of a pool shard, and changes of its workers."""
 
 from chestnuttide.jobs import _acceptance
 from chestnuttide.jobs import _attempts
 from chestnuttide.jobs import _backlog
 from chestnuttide.jobs import _events
-from chestnuttide.jobs import _holding
 from chestnuttide.jobs import _journal
 from chestnuttide.jobs import _messages
 from chestnuttide.jobs import _outcomes
+from chestnuttide.jobs import _reservations
 from chestnuttide.jobs import _snapshot
 from chestnuttide.jobs import _state
 from chestnuttide.jobs import _timers
 from chestnuttide import model
 from chestnuttide import placement
 
-# Seconds after the end of a job during which its attempts may not have been
-# stopped yet.
-STRAY_S = 60.0
+# Seconds after the end of a job during which some of its attempts may still be
+# running.
+ORPHAN_WINDOW_S = 60.0
 
 
 def on_recovered(
@@ -25,34 +25,34 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Rebuild the jobs, and wait for the reports of the workers.
+    """Rebuild the jobs, and start to wait for the workers' reports.
 
-    Nothing starts before the takeover is durable, because the attempt numbers
-    of this owner depend on it. The tasks of recovered jobs start only when
-    all listed workers have reported, or the leases that the former owner may
-    have granted have expired.
+    No task starts before the takeover is durable, because the attempt numbers
+    of this owner depend on it. Tasks of recovered jobs start only once all
+    listed workers have reported, or once any leases that the previous owner
+    granted have expired.
     """
     _snapshot.rebuild(state, message.snapshot, message.events, now)
     state.recovered_at = now
     state.ready = False
     state.settled = False
-    # A start of the former owner may take effect until it expires.
+    # A start sent by the previous owner may take effect until it expires.
     state.settle_at = (
         now
         + model.START_VALID_S
         + model.CLOCK_SKEW_S
-        + _holding.lease_s(state) * _state.LEASE_MARGIN
+        + _reservations.lease_s(state) * _state.LEASE_MARGIN_RATIO
     )
     for worker_id, worker in state.workers.items():
         worker.reported = False
         state.unreported.add(worker_id)
-        _state.update_shut(state, worker, now)
+        _state.update_availability(state, worker, now)
     for record in state.jobs.values():
         if _state.is_open(record) or (
             record.state is not model.JobState.SUCCEEDED
-            and now - record.ended_at < STRAY_S
+            and now - record.ended_at < ORPHAN_WINDOW_S
         ):
-            _holding.assume(
+            _reservations.assume_running(
                 state, record, record.job.tasks - record.done_count
             )
     _timers.schedule(state, state.settle_at, "settle")
@@ -64,13 +64,13 @@
     message: _messages.WorkersChanged,
     now: float,
 ) -> None:
-    """Adopt changes of the instance list.
+    """Apply changes of the instance list.
 
-    A worker gets no work before its first report. One that is listed as gone
-    keeps its attempts until their leases have expired. One that is gone when
-    the shard is taken over may still run attempts of the former owner, so it
-    is waited for like any other; callers leave out workers that have been
-    gone for longer than a lease with its margin.
+    A worker receives no work before its first report. A worker that is listed
+    as gone keeps its attempts until their leases have expired. A worker that
+    is gone at the time of a takeover may still run attempts of the previous
+    owner, so its report is waited for as well. The message should leave out
+    workers that have been gone for longer than a lease with its margin.
     """
     for instance in message.instances:
         if instance.kind is not model.InstanceKind.WORKER:
@@ -93,16 +93,16 @@
         else:
             state.leaving.pop(worker_id, None)
         state.freed[worker_id] = None
-        _state.update_shut(state, worker, now)
-        _attempts.watch_leases(state, worker)
+        _state.update_availability(state, worker, now)
+        _attempts.schedule_lease_check(state, worker)
         _attempts.remove_if_gone(state, worker)
-    _state.capacity_changed(state)
+    _state.mark_capacity_changed(state)
 
 
 def settle_if_known(
     state: _state.PoolState, now: float, out: list[object]
 ) -> None:
-    """Sort the tasks of recovered jobs once it is known which ones run."""
+    """Assign the states of recovered tasks once it is known which ones run."""
     if state.settled:
         return
     known = bool(state.workers) and not state.unreported
@@ -111,12 +111,12 @@
     state.settled = True
     state.unreported.clear()
     for record in list(state.jobs.values()):
-        _holding.drop_assumed(state, record, record.assumed)
+        _reservations.release_assumed(state, record, record.assumed)
         if not record.settled:
             _settle(state, record, now, out)
     for worker in list(state.workers.values()):
         _attempts.remove_if_gone(state, worker)
-    _state.capacity_changed(state)
+    _state.mark_capacity_changed(state)
 
 
 def _settle(
@@ -125,32 +125,32 @@
     now: float,
     out: list[object],
 ) -> None:
-    """Sort the tasks of one recovered job."""
+    """Assign the states of one recovered job's tasks."""
     record.settled = True
     if not _state.is_open(record):
         return
-    _acceptance.watch_wait(state, record)
+    _acceptance.schedule_wait_limit(state, record)
     tasks = record.job.tasks
     if record.done_count == tasks:
         _outcomes.finish_job(
             state, record, model.JobState.SUCCEEDED, "", now, out
         )
         return
-    touched = max(
+    started_end = max(
         len(record.done) * 8,
         max(record.live, default=-1) + 1,
         max(record.delayed, default=-1) + 1,
         max(record.numbers, default=-1) + 1,
     )
-    record.fresh = min(touched, tasks)
+    record.first_unstarted = min(started_end, tasks)
     record.waiting = {
         index: None
-        for index in range(record.fresh)
+        for index in range(record.first_unstarted)
         if index not in record.live
         and index not in record.delayed
         and not _state.is_done(record, index)
     }
     if _state.is_gang(record) and record.live and _state.pending(record):
-        _outcomes.break_gang(state, record, now, out)
+        _outcomes.abort_gang(state, record, now, out)
         return
     _backlog.enqueue(state, record)
--- a/chestnuttide/jobs/_snapshot.py
+++ b/chestnuttide/jobs/_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of a pool shard, and the replay of snapshot and events."""
+"""Snapshots of a pool shard, and recovery from a snapshot and events."""
 
 import collections.abc
 import io
@@ -12,10 +12,10 @@
 from chestnuttide import model
 from chestnuttide import queueing
 
-# Version of the snapshot's layout.
+# Version of the snapshot layout.
 LAYOUT = 1
 
-# Jobs per part of a snapshot; a part takes a few milliseconds.
+# Jobs per part of a snapshot; encoding a part takes a few milliseconds.
 PART_JOBS = 200
 
 
@@ -23,15 +23,16 @@
 class _Replay:
     """Clock of a replay.
 
-    Owners have different monotonic clocks. The replay runs on one time line
-    that stands still between two owners, so ages are lower bounds.
+    Each owner has its own monotonic clock. The replay joins them to one
+    timeline, on which no time passes between two owners, so the ages that it
+    yields are lower bounds.
 
     Attributes
     ----------
     last_at : float
-        Last time seen on the current owner's clock.
+        Latest time read from the current owner's clock.
     offset : float
-        What is added to that clock to give the time line.
+        Added to that clock to convert it to the timeline.
     """
 
     last_at: float
@@ -41,8 +42,8 @@
 def encode_snapshot(state: _state.PoolState, now: float) -> bytes:
     """Return the durable state of a pool as a sequence of CBOR values.
 
-    Finished tasks are bitmaps; attempts are not included, because workers
-    report them to the next owner.
+    Finished tasks are stored as bitmaps. Attempts are left out, because
+    workers report them to the next owner.
 
     Parameters
     ----------
@@ -57,11 +58,12 @@
 def snapshot_parts(
     state: _state.PoolState, now: float
 ) -> collections.abc.Iterator[bytes]:
-    """Yield a snapshot in parts that are encoded within milliseconds each.
+    """Yield a snapshot in parts that take milliseconds each to encode.
 
-    The pool may change between two parts. The snapshot then holds each job as
-    it was at some time after the first part, so all events since the first
-    part must be replayed on it, which is harmless for those it includes.
+    The pool may change between two parts. The snapshot then contains each job
+    as it was at some time after the first part, so all events since the first
+    part must be replayed on it. Replaying an event that the snapshot already
+    includes is harmless.
 
     Parameters
     ----------
@@ -97,13 +99,13 @@
     """Rebuild jobs from a snapshot and the events after it.
 
     Replaying an event that the snapshot includes has no effect. The tasks of
-    open jobs are not yet sorted into places.
+    open jobs are not yet assigned to their states.
     """
     replay = None
-    highest = -1
+    last_generation = -1
     if snapshot:
         stream = io.BytesIO(snapshot)
-        _, at, highest, estimates = cbor2.load(stream)
+        _, at, last_generation, estimates = cbor2.load(stream)
         replay = _Replay(last_at=at)
         while stream.tell() < len(snapshot):
             for fields in cbor2.load(stream):
@@ -115,23 +117,23 @@
         if replay is None:
             replay = _Replay(last_at=at)
         if tag == _events.OWNER:
-            highest = max(highest, fields[0])
+            last_generation = max(last_generation, fields[0])
             replay.offset += replay.last_at - at
         replay.last_at = at
-        highest = max(highest, 0)
+        last_generation = max(last_generation, 0)
         _apply(state, tag, fields, at + replay.offset)
-    state.generation = highest + 1
+    state.generation = last_generation + 1
     if replay is None:
         return
-    shift = now - (replay.last_at + replay.offset)
+    clock_shift = now - (replay.last_at + replay.offset)
     ended = []
     for record in state.jobs.values():
-        record.entered_at += shift
+        record.entered_at += clock_shift
         if _state.is_open(record):
             record.settled = False
             state.waiting_tasks += record.job.tasks - record.done_count
         else:
-            record.ended_at = min(now, record.ended_at + shift)
+            record.ended_at = min(now, record.ended_at + clock_shift)
             ended.append((record.ended_at, record.job.job_id))
     state.ended.extend(sorted(ended))
 
@@ -157,7 +159,7 @@
 
 
 def _decode_record(fields: list, at: float) -> _state.JobRecord:
-    """Return the job of its durable fields."""
+    """Return the job that `_encode_record` encoded."""
     job, job_state, reason, age_s, ended_s, done, count, failed_on, numbers = (
         fields
     )
@@ -192,22 +194,22 @@
     if record is None or not _state.is_open(record):
         return
     if tag == _events.CANCELLED:
-        _end(record, model.JobState.CANCELLED, "cancelled", at)
+        _end_job(record, model.JobState.CANCELLED, "cancelled", at)
     elif tag == _events.JOB_STARTED:
         record.state = model.JobState.RUNNING
     elif tag == _events.JOB_ENDED:
-        _end(record, model.JobState(fields[1]), fields[2], at)
+        _end_job(record, model.JobState(fields[1]), fields[2], at)
     elif tag == _events.TASK_ENDED:
         _apply_task_end(record, fields)
 
 
-def _end(
+def _end_job(
     record: _state.JobRecord,
     job_state: model.JobState,
     reason: str,
     at: float,
 ) -> None:
-    """Note the end of a job."""
+    """Record the end of a job."""
     record.state = job_state
     record.reason = reason
     record.ended_at = at
@@ -216,7 +218,7 @@
 
 
 def _apply_task_end(record: _state.JobRecord, fields: list) -> None:
-    """Note the end of an attempt unless it is known."""
+    """Record the completion of an attempt unless it is already known."""
     _, index, number, result, worker_id = fields
     if _state.is_done(record, index) or (
         number <= record.numbers.get(index, 0)
@@ -229,4 +231,4 @@
     if result == model.TaskState.SUCCEEDED:
         _state.set_done(record, index)
     elif result == model.TaskState.FAILED:
-        _outcomes.count_failure(record, index, worker_id)
+        _outcomes.record_failure(record, index, worker_id)
--- a/chestnuttide/jobs/tests/test_stalled_journal.py
+++ b/chestnuttide/jobs/tests/test_stalled_journal.py
@@ -1,4 +1,4 @@
-"""Submissions that meet a journal that does not commit."""
+"""Submissions while the journal does not commit."""
 
 import random
 
@@ -38,7 +38,7 @@
             {"a": UNKNOWN},
             [],
             [],
-            id="a caller waits in vain for an event that cannot commit",
+            id="a caller waits forever for an event that cannot commit",
         ),
         pytest.param(
             [submit("a"), STALL, "durable"],
@@ -52,21 +52,21 @@
             {"a": NOT_RUN},
             [],
             [],
-            id="a job is taken that cannot be made durable",
+            id="a job that cannot be made durable is accepted",
         ),
         pytest.param(
             [submit("a"), STALL, "durable", RESUME, submit("b"), "durable"],
             {"a": UNKNOWN},
             ["b"],
             ["a", "b"],
-            id="jobs are refused after the outage",
+            id="jobs are still refused after the journal resumes",
         ),
         pytest.param(
             [submit("a"), RESUME, "durable"],
             {},
             ["a"],
             ["a"],
-            id="a submission is answered although the journal commits",
+            id="a submission is refused although the journal commits",
         ),
     ],
 )
@@ -87,18 +87,28 @@
         if message == "durable":
             message = jobs.JournalDurable(tokens=tuple(pending))
             pending = []
-        found = run(message, 1.0)
+        new_outputs = run(message, 1.0)
         pending += [
-            each.token for each in found if isinstance(each, jobs.AppendEvent)
+            output.token
+            for output in new_outputs
+            if isinstance(output, jobs.AppendEvent)
         ]
-        outputs += found
-    refusals = [one for one in outputs if isinstance(one, jobs.JobRefused)]
-    assert {one.token: one.error.run_state for one in refusals} == refused
+        outputs += new_outputs
+    refusals = [
+        output for output in outputs if isinstance(output, jobs.JobRefused)
+    ]
+    assert {
+        output.token: output.error.run_state for output in refusals
+    } == refused
     assert len(refusals) == len(refused)
-    assert {one.error.reason for one in refusals} <= {
+    assert {output.error.reason for output in refusals} <= {
         errors.Reason.STORE_UNAVAILABLE
     }
     assert [
-        one.job_id for one in outputs if isinstance(one, jobs.JobAccepted)
+        output.job_id
+        for output in outputs
+        if isinstance(output, jobs.JobAccepted)
     ] == accepted
-    assert [one.job.job_id for one in jobs.list_jobs(state, 2.0)] == known
+    assert [
+        output.job.job_id for output in jobs.list_jobs(state, 2.0)
+    ] == known
