--- a/chestnuttide/routing/_admission.py
+++ b/chestnuttide/routing/_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: checks, at-most-once, queue."""
+"""Admission of requests: validation, at-most-once checks and queueing."""
 
 import heapq
 
@@ -12,22 +12,23 @@
 from chestnuttide.routing import _state
 
 
-def submit(
+def handle_submit(
     state: _state.RouterState, message: _messages.Submit, now: float
 ) -> list[object]:
-    """Admit a request, or refuse it as not run."""
+    """Admit a request or refuse it."""
     request = message.request
     if not request.idempotent and not message.resend:
-        # Before all other checks: they would call an id "not run" that ran.
+        # This check comes first: the others would report a request that ran
+        # under this id as not run.
         used = coordination.request_state(
             state.ledger, request.request_id, now
         )
         if used is not None:
             first = state.calls_by_id.get(request.request_id)
             if first is not None:
-                first.kept = True
-            return [_refuse_known(message, used.state)]
-    error = _check(state, message, now)
+                first.ignore_cancel = True
+            return [_refuse_known_id(message, used.state)]
+    error = _validate_request(state, message, now)
     if error is not None:
         answer = _refusals.make_answer(request.request_id, error)
         return [_messages.AnswerCall(call=message.call, answer=answer)]
@@ -37,31 +38,33 @@
         heapq.heappush(state.deadlines, (request.deadline, call.call))
         return enqueue(state, call, now)
     if message.resend:
-        attached = _attach(state, message)
+        attached = _attach_resend(state, message)
         if attached is not None:
             return attached
     known = coordination.begin_request(state.ledger, request.request_id, now)
     if known is not None:
-        return [_refuse_known(message, known)]
+        return [_refuse_known_id(message, known)]
     state.calls[call.call] = call
     state.calls_by_id[request.request_id] = call
     call.state = _state.CallState.RECORDING
     heapq.heappush(state.deadlines, (request.deadline, call.call))
-    heapq.heappush(state.recordings, (now + state.store_grace_s, call.call))
+    heapq.heappush(
+        state.intent_deadlines, (now + state.store_grace_s, call.call)
+    )
     return [
         _messages.RecordIntent(call=call.call, request_id=request.request_id)
     ]
 
 
-def intent_recorded(
+def handle_intent_recorded(
     state: _state.RouterState,
     message: _messages.IntentRecorded,
     now: float,
 ) -> list[object]:
-    """Queue a request whose intent is durable now.
+    """Queue a request after its intent has become durable.
 
-    An intent that became durable after its request was refused is of no
-    effect: the outcome that follows it in the journal says so.
+    An intent that becomes durable after its request was refused has no
+    effect: the outcome that follows it in the journal records the refusal.
     """
     call = state.calls.get(message.call)
     if call is None or call.state is not _state.CallState.RECORDING:
@@ -77,10 +80,13 @@
 def enqueue(
     state: _state.RouterState, call: _state.Call, now: float
 ) -> list[object]:
-    """Dispatch a call at once if nothing waits, else queue or refuse it."""
+    """Dispatch a call if the queue is empty and a slot is free; else queue it.
+
+    A call that does not fit in the queue is refused.
+    """
     queueing.record_request(state.budget)
     if not state.queue.items and not state.handing_over:
-        outputs = _dispatching.dispatch_first(state, call, now)
+        outputs = _dispatching.dispatch_immediately(state, call, now)
         if outputs:
             return outputs
     team = state.teams[call.request.team]
@@ -97,23 +103,23 @@
     return []
 
 
-def cancel(
+def handle_cancel(
     state: _state.RouterState, message: _messages.CancelCall, now: float
 ) -> list[object]:
-    """Drop a call whose caller is gone, unless it was dispatched."""
+    """Refuse a call whose caller has disconnected, unless it is in flight."""
     call = state.calls.get(message.call)
-    if call is None or call.live or call.kept:
+    if call is None or call.dispatches_in_flight or call.ignore_cancel:
         return []
     return _answering.refuse_call(
         state,
         call,
         errors.Reason.CANCELLED,
-        "The caller no longer waits.",
+        "The caller is no longer waiting.",
         now,
     )
 
 
-def _check(
+def _validate_request(
     state: _state.RouterState, message: _messages.Submit, now: float
 ) -> errors.RefusedError | None:
     request = message.request
@@ -134,10 +140,13 @@
     return None
 
 
-def _attach(
+def _attach_resend(
     state: _state.RouterState, message: _messages.Submit
 ) -> list[object] | None:
-    """Connect a request sent again to its first run, if there is one."""
+    """Attach a resent request to its first call or its cached answer.
+
+    Returns None if this owner knows neither.
+    """
     request_id = message.request.request_id
     call = state.calls_by_id.get(request_id)
     if call is not None:
@@ -155,10 +164,10 @@
     return None
 
 
-def _refuse_known(
+def _refuse_known_id(
     message: _messages.Submit, known: coordination.RequestState
 ) -> _messages.AnswerCall:
-    """Refuse an id that was used before; tells what became of it."""
+    """Refuse an id that was used before, with the state of its request."""
     unknown = known is coordination.RequestState.OUTCOME_UNKNOWN
     if unknown and message.resend:
         error = _refusals.make_error(
--- a/chestnuttide/routing/_answering.py
+++ b/chestnuttide/routing/_answering.py
@@ -1,4 +1,4 @@
-"""Answering of calls, exactly once each."""
+"""Answers and refusals; each call is answered exactly once."""
 
 from chestnuttide import coordination
 from chestnuttide import errors
@@ -15,7 +15,7 @@
     answer: model.Answer,
     now: float,
 ) -> list[object]:
-    """Answer a call and settle the state of a non-idempotent request."""
+    """Answer a call and record the outcome of a non-idempotent request."""
     outputs: list[object] = [
         _messages.AnswerCall(call=call.call, answer=answer)
     ]
@@ -28,19 +28,19 @@
     if request.idempotent:
         return outputs
     state.calls_by_id.pop(request.request_id, None)
-    return outputs + _settle_id(state, answer, now)
+    return outputs + _record_outcome(state, answer, now)
 
 
-def _settle_id(
+def _record_outcome(
     state: _state.RouterState, answer: model.Answer, now: float
 ) -> list[object]:
-    """Note in the ledger what became of a non-idempotent request."""
+    """Record the outcome of a non-idempotent request in the ledger."""
     request_id = answer.request_id
     if answer.run_state is errors.RunState.RAN:
         coordination.mark_answered(
             state.ledger, request_id, answer.status, now
         )
-        _state.keep_answer(state, answer)
+        _state.cache_answer(state, answer)
         return [
             _messages.RecordOutcome(
                 request_id=request_id, status=answer.status
@@ -65,10 +65,10 @@
     message: str,
     now: float,
 ) -> list[object]:
-    """Refuse a call; "not run" only if nothing of it was ever sent."""
+    """Refuse a call; it counts as not run only if no byte of it was sent."""
     run_state = (
         errors.RunState.UNKNOWN
-        if call.maybe_ran or call.live
+        if call.may_have_run or call.dispatches_in_flight
         else errors.RunState.NOT_RUN
     )
     error = _refusals.make_error(reason, message, run_state=run_state)
--- a/chestnuttide/routing/_dispatching.py
+++ b/chestnuttide/routing/_dispatching.py
@@ -1,4 +1,4 @@
-"""Dispatching of queued requests to free slots, and what comes of it."""
+"""Dispatch of queued requests to free slots, and handling of the results."""
 
 import heapq
 
@@ -11,11 +11,11 @@
 from chestnuttide.routing import _state
 from chestnuttide.routing import _targets
 
-# Lowest HTTP status that tells of a fault of the target.
-SERVER_ERROR = 500
+# Lowest HTTP status that counts as a failure of the target.
+MIN_SERVER_ERROR_STATUS = 500
 
 
-def pump(state: _state.RouterState, now: float) -> list[object]:
+def dispatch_waiting(state: _state.RouterState, now: float) -> list[object]:
     """Dispatch queued requests while slots are free."""
     outputs: list[object] = []
     while state.pool.free_slots > 0:
@@ -23,22 +23,22 @@
         if item is None:
             break
         call = state.calls[int(item.key)]
-        target = _targets.take_slot(state.pool, excluded=call.tried)
+        target = _targets.acquire_slot(state.pool, excluded=call.tried)
         if target is None:
-            target = _targets.take_slot(state.pool)
+            target = _targets.acquire_slot(state.pool)
         if target is None:
             break
         queueing.pop(state.queue, item.key)
-        outputs += _dispatch_queued(state, call, target, now)
+        outputs += _dispatch_to(state, call, target, now)
     return outputs
 
 
-def dispatch_first(
+def dispatch_immediately(
     state: _state.RouterState, call: _state.Call, now: float
 ) -> list[object]:
-    """Dispatch a call that finds an empty queue.
+    """Dispatch a call without queueing it; only for use with an empty queue.
 
-    This saves the work of the queue when there is nothing to put in order.
+    This saves the cost of a push and a pop when there is nothing to order.
 
     Returns
     -------
@@ -47,13 +47,13 @@
     """
     if state.pool.free_slots <= 0:
         return []
-    target = _targets.take_slot(state.pool)
+    target = _targets.acquire_slot(state.pool)
     if target is None:
         return []
-    return _dispatch_queued(state, call, target, now)
+    return _dispatch_to(state, call, target, now)
 
 
-def _dispatch_queued(
+def _dispatch_to(
     state: _state.RouterState,
     call: _state.Call,
     target: _targets.Target,
@@ -63,7 +63,7 @@
     if not request.idempotent and not coordination.mark_sent(
         state.ledger, request.request_id, now
     ):
-        # The ledger has the last word on whether an id may be sent.
+        # The ledger is the authority on whether an id may be sent.
         _targets.release_slot(state.pool, target.target_id)
         return _answering.refuse_call(
             state,
@@ -81,45 +81,45 @@
     return [waited, dispatch]
 
 
-def dispatch_ended(
+def handle_dispatch_ended(
     state: _state.RouterState,
     message: _messages.DispatchEnded,
     now: float,
 ) -> list[object]:
-    """Take in the end of a dispatch: answer, retry or refuse."""
+    """Answer, retry or refuse the call of a dispatch that has ended."""
     record = state.dispatches.pop(message.dispatch_id, None)
     if record is None:
         return []
     call = record.call
-    call.live -= 1
-    outputs = _settle_slot(state, record, message, now)
+    call.dispatches_in_flight -= 1
+    outputs = _update_slot(state, record, message, now)
     result = message.result
     if message.sent and not (result is not None and result.leaving):
-        call.maybe_ran = True
+        call.may_have_run = True
     elif not call.request.idempotent:
         coordination.mark_unsent(state.ledger, call.request.request_id, now)
     if call.state is _state.CallState.ANSWERED:
-        return outputs + _take_late(state, record, result, now)
+        return outputs + _record_late_answer(state, record, result, now)
     if result is not None and not result.leaving:
-        return outputs + _take_result(state, record, result, now)
-    return outputs + _take_failure(state, call, message, now)
+        return outputs + _handle_result(state, record, result, now)
+    return outputs + _handle_failure(state, call, message, now)
 
 
 def hedge(state: _state.RouterState, now: float) -> list[object]:
-    """Send slow idempotent requests to a second target."""
+    """Hedge slow idempotent requests by sending them to a second target."""
     outputs: list[object] = []
-    while state.hedges and state.hedges[0][0] <= now:
-        _, number = heapq.heappop(state.hedges)
+    while state.hedge_timers and state.hedge_timers[0][0] <= now:
+        _, number = heapq.heappop(state.hedge_timers)
         call = state.calls.get(number)
         if (
             call is None
-            or call.live != 1
+            or call.dispatches_in_flight != 1
             or state.handing_over
             or len(state.queue.items) > 0
             or not queueing.take_retry(state.budget, now)
         ):
             continue
-        target = _targets.take_slot(state.pool, excluded=call.tried)
+        target = _targets.acquire_slot(state.pool, excluded=call.tried)
         if target is not None:
             outputs.append(_messages.Retried(reason=errors.RetryReason.HEDGE))
             outputs.append(_dispatch(state, call, target, now))
@@ -137,7 +137,7 @@
     state.next_dispatch += 1
     call.state = _state.CallState.DISPATCHED
     call.attempts += 1
-    call.live += 1
+    call.dispatches_in_flight += 1
     call.tried |= {target.target_id}
     state.dispatches[dispatch_id] = _state.DispatchRecord(
         call=call, target_id=target.target_id
@@ -145,7 +145,7 @@
     hedged = request.idempotent and state.policy.hedge_after_s
     if hedged and call.attempts == 1:
         heapq.heappush(
-            state.hedges, (now + state.policy.hedge_after_s, call.call)
+            state.hedge_timers, (now + state.policy.hedge_after_s, call.call)
         )
     return _messages.Dispatch(
         dispatch_id=dispatch_id,
@@ -159,7 +159,7 @@
     )
 
 
-def _settle_slot(
+def _update_slot(
     state: _state.RouterState,
     record: _state.DispatchRecord,
     message: _messages.DispatchEnded,
@@ -174,7 +174,7 @@
         )
     else:
         _targets.release_slot(state.pool, target_id)
-    query = state.queries.get(target_id)
+    query = state.busy_queries.get(target_id)
     target = state.pool.targets.get(target_id)
     if query is not None and target is not None:
         query.minimum_in_use = min(query.minimum_in_use, target.in_use)
@@ -187,27 +187,28 @@
     ejected = _targets.record_outcome(
         state.pool,
         target_id,
-        succeeded=result is not None and result.status < SERVER_ERROR,
+        succeeded=result is not None
+        and result.status < MIN_SERVER_ERROR_STATUS,
         policy=state.policy,
         now=now,
     )
     return [_messages.Ejected(target_id=target_id)] if ejected else []
 
 
-def _take_late(
+def _record_late_answer(
     state: _state.RouterState,
     record: _state.DispatchRecord,
     result: _messages.TargetResult | None,
     now: float,
 ) -> list[object]:
-    """Remember an answer that came after its caller was answered."""
+    """Record a target's answer to a call that was already answered."""
     request = record.call.request
     if request.idempotent or result is None or result.leaving:
         return []
     coordination.mark_answered(
         state.ledger, request.request_id, result.status, now
     )
-    _state.keep_answer(state, _make_answer(record, result))
+    _state.cache_answer(state, _make_answer(record, result))
     return [
         _messages.RecordOutcome(
             request_id=request.request_id, status=result.status
@@ -227,16 +228,16 @@
     )
 
 
-def _take_result(
+def _handle_result(
     state: _state.RouterState,
     record: _state.DispatchRecord,
     result: _messages.TargetResult,
     now: float,
 ) -> list[object]:
     call = record.call
-    if result.status >= SERVER_ERROR and call.request.idempotent:
-        if call.live:
-            # Another dispatch of the same request may still succeed.
+    if result.status >= MIN_SERVER_ERROR_STATUS and call.request.idempotent:
+        if call.dispatches_in_flight:
+            # Another attempt at the same request may still succeed.
             return []
         if _may_retry(state, call, now):
             return _retry(state, call, errors.RetryReason.TARGET_ERROR, now)
@@ -244,13 +245,13 @@
     return _answering.answer_call(state, call, answer, now)
 
 
-def _take_failure(
+def _handle_failure(
     state: _state.RouterState,
     call: _state.Call,
     message: _messages.DispatchEnded,
     now: float,
 ) -> list[object]:
-    if call.live:
+    if call.dispatches_in_flight:
         return []
     if message.lease_lost:
         return _answering.refuse_call(
@@ -296,7 +297,7 @@
     reason: errors.RetryReason,
     now: float,
 ) -> list[object]:
-    """Queue a call again; its time of arrival keeps its place."""
+    """Queue a call again, in the place given by its time of arrival."""
     if state.handing_over:
         return _answering.refuse_call(
             state,
--- a/chestnuttide/routing/_upkeep.py
+++ b/chestnuttide/routing/_maintenance.py
@@ -1,4 +1,4 @@
-"""What time and the platform change: deadlines, targets, takeover."""
+"""Deadlines and timers, changes of targets and policy, and handover."""
 
 import heapq
 
@@ -9,14 +9,14 @@
 from chestnuttide.routing import _state
 from chestnuttide.routing import _targets
 
-# Seconds between two questions to a target about slots of unknown use.
-BUSY_QUERY_S = 0.2
-# Timers of ended calls that are kept before a heap is rebuilt.
+# Seconds between queries to a target that has unaccounted slots.
+BUSY_QUERY_INTERVAL_S = 0.2
+# Timers of ended calls tolerated in a heap before it is rebuilt.
 MIN_ENDED_TIMERS = 1024
 
 
-def tick(state: _state.RouterState, now: float) -> list[object]:
-    """End what has waited too long, and free what is free by now."""
+def handle_tick(state: _state.RouterState, now: float) -> list[object]:
+    """Refuse calls whose time has run out and update the targets' slots."""
     outputs: list[object] = []
     for item in queueing.expire(state.queue, now):
         call = state.calls[int(item.key)]
@@ -26,8 +26,8 @@
         call = state.calls.get(number)
         if call is not None:
             outputs += _expire_call(state, call, now)
-    while state.recordings and state.recordings[0][0] <= now:
-        _, number = heapq.heappop(state.recordings)
+    while state.intent_deadlines and state.intent_deadlines[0][0] <= now:
+        _, number = heapq.heappop(state.intent_deadlines)
         call = state.calls.get(number)
         if call is not None and call.state is _state.CallState.RECORDING:
             outputs += _answering.refuse_call(
@@ -37,18 +37,22 @@
                 "The intent to run the request could not be recorded.",
                 now,
             )
-    for timers in (state.deadlines, state.recordings, state.hedges):
-        _drop_ended(state, timers)
+    for timers in (
+        state.deadlines,
+        state.intent_deadlines,
+        state.hedge_timers,
+    ):
+        _remove_ended_timers(state, timers)
     _targets.expire(state.pool, now)
     return outputs + _query_busy(state, now)
 
 
-def targets_changed(
+def handle_targets_changed(
     state: _state.RouterState,
     message: _messages.TargetsChanged,
     now: float,
 ) -> list[object]:
-    """Take over changes of the instance list."""
+    """Apply changes of the instance list."""
     for instance in message.instances:
         is_new = _targets.update_target(
             state.pool,
@@ -65,13 +69,13 @@
     return _query_busy(state, now)
 
 
-def busy_reported(
+def handle_busy_reported(
     state: _state.RouterState,
     message: _messages.BusyReported,
     now: float,
 ) -> list[object]:
-    """Correct the slots of unknown use by what the target says."""
-    query = state.queries.get(message.target_id)
+    """Free unaccounted slots that the target does not report as busy."""
+    query = state.busy_queries.get(message.target_id)
     target = state.pool.targets.get(message.target_id)
     if query is None or target is None:
         return []
@@ -86,10 +90,10 @@
     return []
 
 
-def policy_changed(
+def handle_policy_changed(
     state: _state.RouterState, message: _messages.PolicyChanged
 ) -> list[object]:
-    """Put a new config version in force."""
+    """Apply a new config version."""
     state.policy = message.service
     state.teams = message.teams
     state.queue.limit = message.service.queue_limit
@@ -101,12 +105,12 @@
     return []
 
 
-def hand_over(state: _state.RouterState, now: float) -> list[object]:
-    """Dispatch nothing more and send back all that was not sent."""
+def handle_hand_over(state: _state.RouterState, now: float) -> list[object]:
+    """Stop dispatching and refuse all calls with no dispatch in flight."""
     state.handing_over = True
     outputs: list[object] = []
     for call in list(state.calls.values()):
-        if call.live == 0:
+        if call.dispatches_in_flight == 0:
             outputs += _answering.refuse_call(
                 state,
                 call,
@@ -117,12 +121,13 @@
     return outputs
 
 
-def _drop_ended(
+def _remove_ended_timers(
     state: _state.RouterState, timers: list[tuple[float, int]]
 ) -> None:
-    """Drop timers of calls that have ended, once they are the most.
+    """Remove timers of ended calls once they are the majority.
 
-    Callers may allow an hour; their timers would be kept as long.
+    A caller may set a deadline an hour away; without this, the timer would
+    stay in memory for that hour.
     """
     if len(timers) > 2 * len(state.calls) + MIN_ENDED_TIMERS:
         timers[:] = [each for each in timers if each[1] in state.calls]
@@ -138,7 +143,7 @@
         state,
         call,
         errors.Reason.DEADLINE_EXCEEDED,
-        "The deadline passed before an answer came.",
+        "The deadline passed before an answer arrived.",
         now,
     )
 
@@ -150,12 +155,14 @@
     outputs: list[object] = []
     for target in state.pool.targets.values():
         if not target.unaccounted:
-            state.queries.pop(target.target_id, None)
+            state.busy_queries.pop(target.target_id, None)
             continue
-        query = state.queries.setdefault(target.target_id, _state.BusyQuery())
+        query = state.busy_queries.setdefault(
+            target.target_id, _state.BusyQuery()
+        )
         if now < query.next_at:
             continue
-        query.next_at = now + BUSY_QUERY_S
+        query.next_at = now + BUSY_QUERY_INTERVAL_S
         query.waiting = True
         query.minimum_in_use = target.in_use
         outputs.append(
--- a/chestnuttide/routing/_messages.py
+++ b/chestnuttide/routing/_messages.py
@@ -1,4 +1,4 @@
-"""Messages into and out of the routing of one shard of a service."""
+"""Input and output messages of the routing filter of one shard."""
 
 import attrs
 
@@ -14,12 +14,12 @@
     Attributes
     ----------
     call : int
-        Number under which the answer is expected.
+        Number by which the answer is matched to the caller.
     request : Request
         The request.
     resend : bool
-        Whether the entry sends it again because its connection to the owner
-        ended, so that the id was used before without being used twice.
+        Whether the entry sends it again after losing its connection to the
+        owner, so that a known id is no duplicate.
     """
 
     call: int
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class CancelCall:
-    """The caller no longer waits.
+    """The caller is no longer waiting.
 
     Attributes
     ----------
@@ -49,7 +49,7 @@
     call : int
         Number of the call.
     token : int
-        Token that the intent event was made with.
+        Token of the intent event.
     """
 
     call: int
@@ -58,7 +58,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class TargetResult:
-    """A target's whole answer.
+    """A complete answer of a target.
 
     Attributes
     ----------
@@ -69,7 +69,7 @@
     body : bytes
         The whole body.
     leaving : bool
-        Whether the target said that it is leaving and ran nothing.
+        Whether the target refused the request because it is leaving.
     """
 
     status: int
@@ -87,11 +87,11 @@
     dispatch_id : int
         Number of the dispatch.
     result : TargetResult or None
-        The answer; None if there was none.
+        The answer; None if none arrived.
     sent : bool
         Whether any byte may have reached the target.
     lease_lost : bool
-        Whether it was not sent because ownership had ended.
+        Whether it was not sent because the owner had lost its lease.
     """
 
     dispatch_id: int
@@ -144,7 +144,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class BusyReported:
-    """A target has said how many of its slots are in use.
+    """A target has reported how many of its slots are in use.
 
     Attributes
     ----------
@@ -167,7 +167,7 @@
     target_id : str
         Instance id of the target.
     count : int
-        Slots that are free now.
+        Number of slots that have become free.
     """
 
     target_id: str
@@ -186,7 +186,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class RecordIntent:
-    """Make the intent to run a request durable, then report it.
+    """Make the intent to run a request durable, then report `IntentRecorded`.
 
     Attributes
     ----------
@@ -238,7 +238,7 @@
     payload : bytes
         Body for the target.
     limit_s : float
-        Seconds after which the target's answer is given up.
+        Longest time in seconds to wait for the target's answer.
     """
 
     dispatch_id: int
@@ -278,7 +278,7 @@
     address : str
         ``ip:port`` of the target.
     path : str
-        Path of its status.
+        Path of its status page.
     """
 
     target_id: str
@@ -288,7 +288,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class LeavingLearned:
-    """A target has said itself that it is leaving; tell the peers.
+    """A target has reported that it is leaving; notify the peers.
 
     Attributes
     ----------
@@ -301,12 +301,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Retried:
-    """A request is tried again; counted by reason.
+    """A request is retried; count it by reason.
 
     Attributes
     ----------
     reason : RetryReason
-        Why.
+        Cause of the retry.
     """
 
     reason: errors.RetryReason
@@ -332,7 +332,7 @@
     Attributes
     ----------
     seconds : float
-        Seconds that it waited.
+        Time that it waited for a slot.
     urgent : bool
         Whether it is urgent.
     """
--- a/chestnuttide/routing/_refusals.py
+++ b/chestnuttide/routing/_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests, encoded for the caller."""
+"""Refusals of requests and their encoding for the caller."""
 
 import json
 
@@ -18,7 +18,8 @@
     ),
     errors.Reason.TARGET_FAILED: "Send the request again later.",
     errors.Reason.OUTCOME_UNKNOWN: (
-        "Check at the service whether it ran before sending it under a new id."
+        "Check with the service whether it ran before sending it under a new"
+        " id."
     ),
 }
 
@@ -30,7 +31,7 @@
     run_state: errors.RunState = errors.RunState.NOT_RUN,
     details: dict[str, object] | None = None,
 ) -> errors.RefusedError:
-    """Return a refusal with the remedy that belongs to its reason."""
+    """Return a refusal with the remedy for its reason."""
     return errors.RefusedError(
         reason=reason,
         message=message,
@@ -41,7 +42,7 @@
 
 
 def encode_error(error: errors.RefusedError) -> bytes:
-    """Return the JSON body that tells a caller about a refusal."""
+    """Return the JSON body of a refusal."""
     return json.dumps(
         {
             "error": {
--- a/chestnuttide/routing/_state.py
+++ b/chestnuttide/routing/_state.py
@@ -1,4 +1,4 @@
-"""State of the routing of one shard."""
+"""Routing state of one shard."""
 
 import collections
 import enum
@@ -11,14 +11,14 @@
 from chestnuttide import queueing
 from chestnuttide.routing import _targets
 
-# Answers to non-idempotent requests are kept for an entry whose connection
-# broke before the answer arrived.
-KEPT_ANSWERS = 4096
-KEPT_ANSWER_BYTES = 8 * 1024 * 1024
+# Limits of the cache of answers to non-idempotent requests. An entry whose
+# connection broke before the answer arrived gets it from the cache.
+MAX_CACHED_ANSWERS = 4096
+MAX_CACHED_ANSWER_BYTES = 8 * 1024 * 1024
 
 
 class CallState(enum.Enum):
-    """Where a call stands."""
+    """Stage of a call."""
 
     RECORDING = enum.auto()
     QUEUED = enum.auto()
@@ -28,29 +28,29 @@
 
 @attrs.define(kw_only=True, slots=True)
 class Call:
-    """A request that was accepted.
+    """An accepted request.
 
     Attributes
     ----------
     call : int
-        Number under which the answer is expected.
+        Number by which its answer is matched to the caller.
     request : Request
         The request.
     entered_at : float
         Monotonic time of its arrival, in seconds.
     state : CallState
-        Where it stands.
+        Its stage.
     attempts : int
-        Dispatches so far.
+        Number of dispatches so far.
     tried : frozenset of str
-        Targets that were tried.
-    live : int
-        Dispatches that have not ended.
-    maybe_ran : bool
-        Whether a byte of it may have reached a target.
-    kept : bool
-        Whether another call for its id was told that it is in progress, so
-        that it goes on although its own caller is gone.
+        Ids of the targets to which it was dispatched.
+    dispatches_in_flight : int
+        Number of dispatches that have not ended.
+    may_have_run : bool
+        Whether any byte of it may have reached a target.
+    ignore_cancel : bool
+        Whether to ignore a cancellation, because another caller was told
+        that the request with this id is in progress.
     """
 
     call: int
@@ -59,9 +59,9 @@
     state: CallState = CallState.QUEUED
     attempts: int = 0
     tried: frozenset[str] = frozenset()
-    live: int = 0
-    maybe_ran: bool = False
-    kept: bool = False
+    dispatches_in_flight: int = 0
+    may_have_run: bool = False
+    ignore_cancel: bool = False
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -71,9 +71,9 @@
     Attributes
     ----------
     call : Call
-        The call it belongs to.
+        The dispatched call.
     target_id : str
-        The target.
+        Instance id of the target.
     """
 
     call: Call
@@ -82,16 +82,16 @@
 
 @attrs.define(kw_only=True, slots=True)
 class BusyQuery:
-    """A question to a target about its slots.
+    """Repeated query to a target about its busy slots.
 
     Attributes
     ----------
     next_at : float
-        Time of the next question, in seconds.
+        Monotonic time of the next query, in seconds.
     minimum_in_use : int
-        Fewest slots that this owner used since the question was asked.
+        Fewest slots that this owner has used since the last query.
     waiting : bool
-        Whether the answer is outstanding.
+        Whether an answer is outstanding.
     """
 
     next_at: float = 0.0
@@ -101,53 +101,57 @@
 
 @attrs.define(kw_only=True, slots=True)
 class RouterState:
-    """State of the routing of one shard, owned by one instance.
+    """Routing state of one shard; one instance owns it.
 
     Attributes
     ----------
     shard : str
         Name of the shard.
     policy : ServiceConfig
-        Policy of the service.
+        Configuration of the service.
     teams : dict of str to TeamConfig
         All teams.
     ledger : LedgerState
-        Ids of non-idempotent requests.
+        States of the ids of non-idempotent requests.
     store_grace_s : float
-        Seconds that a request waits for its intent to become durable.
+        Longest time in seconds that a request waits for its intent to
+        become durable.
     unaccounted_until : float
-        Targets seen first before this time may still run requests of a
-        former owner that did not release the shard.
+        Until this time, newly listed targets may still be running requests
+        of a former owner that did not release the shard.
     residual : dict of str to list of float
-        Times at which the former owner's slots are free, by target.
+        By target, the times at which slots used by the former owner become
+        free.
     queue : FairQueue
         Requests that wait for a slot.
     pool : TargetPool
         Targets and their slots.
     budget : RetryBudget
-        Retries that may be made.
+        Limit on retries and hedges.
     calls : dict of int to Call
-        Calls that are not answered.
+        Unanswered calls by number.
     calls_by_id : dict of str to Call
-        Calls of non-idempotent requests by request id.
+        Unanswered calls of non-idempotent requests by request id.
     dispatches : dict of int to DispatchRecord
-        Dispatches that have not ended.
+        Dispatches that have not ended, by number.
     next_dispatch : int
         Number of the next dispatch.
     deadlines : list of (float, int)
         Heap of deadlines and call numbers.
-    recordings : list of (float, int)
-        Heap of times at which the wait for an intent ends.
-    hedges : list of (float, int)
-        Heap of times at which a dispatch is doubled.
-    queries : dict of str to BusyQuery
-        Questions to targets about slots of unknown use.
+    intent_deadlines : list of (float, int)
+        Heap of the times by which an intent must be durable, and call
+        numbers.
+    hedge_timers : list of (float, int)
+        Heap of the times at which to hedge a dispatch, and call numbers.
+    busy_queries : dict of str to BusyQuery
+        Queries to targets that have unaccounted slots, by target.
     answers : OrderedDict of str to Answer
         Recent answers to non-idempotent requests, oldest first.
     answer_bytes : int
-        Bytes of the bodies of `answers`.
+        Size of the bodies of `answers`.
     handing_over : bool
-        Whether nothing more may be dispatched.
+        Whether the shard is being handed over, so that nothing more may be
+        dispatched.
     """
 
     shard: str
@@ -175,9 +179,9 @@
     dispatches: dict[int, DispatchRecord] = attrs.field(factory=dict)
     next_dispatch: int = 1
     deadlines: list[tuple[float, int]] = attrs.field(factory=list)
-    recordings: list[tuple[float, int]] = attrs.field(factory=list)
-    hedges: list[tuple[float, int]] = attrs.field(factory=list)
-    queries: dict[str, BusyQuery] = attrs.field(factory=dict)
+    intent_deadlines: list[tuple[float, int]] = attrs.field(factory=list)
+    hedge_timers: list[tuple[float, int]] = attrs.field(factory=list)
+    busy_queries: dict[str, BusyQuery] = attrs.field(factory=dict)
     answers: collections.OrderedDict[str, model.Answer] = attrs.field(
         factory=collections.OrderedDict
     )
@@ -185,16 +189,16 @@
     handing_over: bool = False
 
 
-def keep_answer(state: RouterState, answer: model.Answer) -> None:
-    """Keep the answer to a non-idempotent request, within the bounds."""
+def cache_answer(state: RouterState, answer: model.Answer) -> None:
+    """Cache the answer to a non-idempotent request; evict the oldest ones."""
     former = state.answers.pop(answer.request_id, None)
     if former is not None:
         state.answer_bytes -= len(former.body)
     state.answers[answer.request_id] = answer
     state.answer_bytes += len(answer.body)
     while (
-        len(state.answers) > KEPT_ANSWERS
-        or state.answer_bytes > KEPT_ANSWER_BYTES
+        len(state.answers) > MAX_CACHED_ANSWERS
+        or state.answer_bytes > MAX_CACHED_ANSWER_BYTES
     ):
         _, oldest = state.answers.popitem(last=False)
         state.answer_bytes -= len(oldest.body)
--- a/chestnuttide/routing/_targets.py
+++ b/chestnuttide/routing/_targets.py
@@ -1,8 +1,9 @@
-"""Slots of the targets of one shard, and the choice of a target.
+"""Slots of the targets of one shard, and selection of a target.
 
-The owner of a shard is the only one that uses its targets' slots, so its
-count is exact, except for what a former owner or a broken connection left
-behind. Such slots count as occupied until they are known to be free.
+Only the owner of a shard uses the slots of its targets, so its count is exact
+except for requests of a former owner and requests whose connection broke.
+Their slots are called unaccounted and count as occupied until they are known
+to be free.
 """
 
 import collections
@@ -13,18 +14,19 @@
 from chestnuttide import config as config_module
 from chestnuttide import model
 
-# Weight of the newest outcome in a target's failure ratio.
+# Weight of the newest outcome in the moving average of failures.
 OUTCOME_WEIGHT = 0.2
-# Outcomes before a target may be ejected; fewer say too little.
+# Outcomes before a target may be ejected; with fewer, the failure ratio means
+# little.
 MINIMUM_OUTCOMES = 5
 # Largest share of a shard's targets that may be ejected at once, so that the
-# others are not overrun by the load of the ejected ones.
+# load of the ejected targets does not overload the others.
 MAXIMUM_EJECTED_SHARE = 0.2
 
 
 @attrs.define(kw_only=True, slots=True)
 class Target:
-    """What the owner knows about one target.
+    """State of one target.
 
     Attributes
     ----------
@@ -33,25 +35,26 @@
     address : str
         ``ip:port`` of its HTTP server.
     slots : int
-        Requests that it may run at once, limited by its connections.
+        Requests that it may run at once; at most its connection limit.
     leaving : bool
-        Whether it takes no new work.
+        Whether it is shutting down and gets no new requests.
     gone : bool
         Whether the platform lists it as gone.
     in_use : int
-        Slots that hold a request of this owner.
+        Slots used by requests of this owner.
     unaccounted : list of float
-        Heap of the times at which slots with unknown use count as free.
+        Heap of the times from which unaccounted slots count as free.
     failure_ratio : float
-        Moving average of failed outcomes, 0 to 1.
+        Moving average of the share of failed outcomes, 0 to 1.
     outcomes : int
         Outcomes since the last ejection.
     ejected_until : float
-        Time at which an ejected target is probed; 0 when not ejected.
+        Time from which an ejected target may be probed; 0 when not ejected.
     probing : bool
-        Whether a probe is under way.
+        Whether a probe request is in flight.
     bucket : int
-        Free slots as the index has them; 0 when it takes no work.
+        Key of its bucket in the pool, the number of free slots; 0 if it is
+        in no bucket.
     """
 
     target_id: str
@@ -78,10 +81,10 @@
         Targets by instance id; a leaving one stays until the platform lists
         it as gone and its slots are free.
     buckets : dict of int to OrderedDict
-        Ids of the targets that take work, by number of free slots. The order
-        within a bucket is that of their last use.
+        Ids of the available targets by number of free slots, least recently
+        updated first.
     free_slots : int
-        Free slots over all targets that take work.
+        Sum of the free slots of the available targets.
     """
 
     targets: dict[str, Target] = attrs.field(factory=dict)
@@ -98,7 +101,7 @@
     unaccounted_until: float,
     now: float,
 ) -> bool:
-    """Take over a change of the instance list.
+    """Apply a change of the instance list to one target.
 
     Parameters
     ----------
@@ -107,7 +110,7 @@
     instance : Instance
         The target as the platform lists it.
     unaccounted_until : float
-        A new target's slots count as occupied until this time.
+        Time until which all slots of a new target count as occupied.
     now : float
         Monotonic time in seconds.
 
@@ -131,19 +134,19 @@
             target.unaccounted = [unaccounted_until] * target.slots
     target.address = instance.address
     target.slots = _usable_slots(instance)
-    # A target that was leaving stays so until the platform lists it as gone:
-    # the list lags, and the target's own word is newer.
+    # A target that reported that it is leaving stays so until the platform
+    # lists it as gone, because the list lags behind the target's report.
     target.leaving = target.leaving or (
         instance.state is not model.InstanceState.LIVE
     )
     target.gone = instance.state is model.InstanceState.GONE
     _reindex(pool, target)
-    _forget_if_idle(pool, target)
+    _remove_if_idle(pool, target)
     return is_new
 
 
 def mark_leaving(pool: TargetPool, target_id: str) -> bool:
-    """Give a target no new work; returns whether that was unknown."""
+    """Stop dispatching to a target; return whether its state changed."""
     target = pool.targets.get(target_id)
     if target is None or target.leaving:
         return False
@@ -152,17 +155,17 @@
     return True
 
 
-def take_slot(
+def acquire_slot(
     pool: TargetPool, *, excluded: frozenset[str] = frozenset()
 ) -> Target | None:
-    """Occupy a slot of the target with the most free slots.
+    """Acquire a slot of the target with the most free slots.
 
     Parameters
     ----------
     pool : TargetPool
         The shard's targets.
     excluded : frozenset of str
-        Targets that are not to be chosen.
+        Ids of targets to skip.
 
     Returns
     -------
@@ -183,15 +186,15 @@
 
 
 def release_slot(pool: TargetPool, target_id: str) -> None:
-    """Free a slot whose request has ended."""
+    """Release the slot of a request that has ended."""
     target = pool.targets[target_id]
     target.in_use -= 1
     _reindex(pool, target)
-    _forget_if_idle(pool, target)
+    _remove_if_idle(pool, target)
 
 
 def abandon_slot(pool: TargetPool, target_id: str, *, until: float) -> None:
-    """Keep a slot occupied whose request may still run at the target."""
+    """Mark the slot of a request that may still be running as unaccounted."""
     target = pool.targets[target_id]
     target.in_use -= 1
     heapq.heappush(target.unaccounted, until)
@@ -201,7 +204,7 @@
 def set_unaccounted(
     pool: TargetPool, target_id: str, *, times: list[float]
 ) -> None:
-    """Replace the times at which slots of unknown use count as free."""
+    """Replace the times from which unaccounted slots count as free."""
     target = pool.targets.get(target_id)
     if target is None:
         return
@@ -210,7 +213,7 @@
 
 
 def free_unaccounted(pool: TargetPool, target_id: str, *, count: int) -> None:
-    """Free slots of unknown use that are now known to be free."""
+    """Free unaccounted slots that are now known to be free."""
     target = pool.targets.get(target_id)
     if target is None:
         return
@@ -220,7 +223,7 @@
 
 
 def expire(pool: TargetPool, now: float) -> None:
-    """Free slots whose time has come and readmit targets for a probe."""
+    """Free unaccounted slots whose time has passed and allow due probes."""
     for target in list(pool.targets.values()):
         changed = False
         while target.unaccounted and target.unaccounted[0] <= now:
@@ -230,7 +233,7 @@
             changed = True
         if changed:
             _reindex(pool, target, now=now)
-            _forget_if_idle(pool, target)
+            _remove_if_idle(pool, target)
 
 
 def record_outcome(
@@ -241,12 +244,12 @@
     policy: config_module.ServiceConfig,
     now: float,
 ) -> bool:
-    """Count an outcome and eject the target if it fails too often.
+    """Record an outcome and eject the target if it fails too often.
 
     Returns
     -------
     bool
-        Whether the target was ejected now.
+        Whether this outcome caused the ejection of the target.
     """
     target = pool.targets.get(target_id)
     if target is None:
@@ -266,7 +269,7 @@
         target.ejected_until
         or target.outcomes < MINIMUM_OUTCOMES
         or target.failure_ratio <= policy.eject_failure_ratio
-        or not _may_eject_one_more(pool)
+        or not _may_eject_another(pool)
     ):
         return False
     target.ejected_until = now + policy.eject_s
@@ -275,14 +278,14 @@
 
 
 def residual(pool: TargetPool, *, until: float) -> dict[str, list[float]]:
-    """Return, by target, the times at which occupied slots will be free.
+    """Return by target the times from which its occupied slots are free.
 
     Parameters
     ----------
     pool : TargetPool
         The shard's targets.
     until : float
-        Time at which the requests in flight have ended at the latest.
+        Latest time at which the requests in flight end.
     """
     return {
         target.target_id: sorted(target.unaccounted + [until] * target.in_use)
@@ -292,7 +295,7 @@
 
 
 def in_flight(pool: TargetPool) -> int:
-    """Return the number of slots that hold a request of this owner."""
+    """Return the number of slots used by requests of this owner."""
     return sum(target.in_use for target in pool.targets.values())
 
 
@@ -300,7 +303,7 @@
     return min(instance.slots, instance.connections or instance.slots)
 
 
-def _free(target: Target, now: float | None) -> int:
+def _count_free_slots(target: Target, now: float | None) -> int:
     if target.leaving:
         return 0
     free = target.slots - target.in_use - len(target.unaccounted)
@@ -315,7 +318,7 @@
 def _reindex(
     pool: TargetPool, target: Target, now: float | None = None
 ) -> None:
-    free = _free(target, now)
+    free = _count_free_slots(target, now)
     if target.bucket:
         bucket = pool.buckets[target.bucket]
         bucket.pop(target.target_id, None)
@@ -329,7 +332,7 @@
         ] = None
 
 
-def _may_eject_one_more(pool: TargetPool) -> bool:
+def _may_eject_another(pool: TargetPool) -> bool:
     usable = [each for each in pool.targets.values() if not each.leaving]
     ejected = sum(1 for each in usable if each.ejected_until)
     if len(usable) < 2:
@@ -337,6 +340,6 @@
     return ejected + 1 <= max(1, int(len(usable) * MAXIMUM_EJECTED_SHARE))
 
 
-def _forget_if_idle(pool: TargetPool, target: Target) -> None:
+def _remove_if_idle(pool: TargetPool, target: Target) -> None:
     if target.gone and not target.in_use and not target.unaccounted:
         del pool.targets[target.target_id]
--- a/chestnuttide/routing/tests/test_router.py
+++ b/chestnuttide/routing/tests/test_router.py
@@ -29,8 +29,8 @@
 
 
 @attrs.define(slots=False)
-class _Bench:
-    """A router with a given clock, and what it has decided."""
+class _RouterHarness:
+    """A router with a controlled clock that collects the outputs."""
 
     policy: config.ServiceConfig = _POLICY
     targets: int = 1
@@ -131,23 +131,23 @@
 
 
 def test_slots_are_never_overrun() -> None:
-    bench = _Bench(targets=2, slots=2, policy=config.ServiceConfig())
+    harness = _RouterHarness(targets=2, slots=2, policy=config.ServiceConfig())
     for call in range(10):
-        bench.submit(call)
-    assert len(bench.dispatches) == 4
-    used = [each.target_id for each in bench.dispatches]
+        harness.submit(call)
+    assert len(harness.dispatches) == 4
+    used = [each.target_id for each in harness.dispatches]
     assert sorted(used) == ["t0", "t0", "t1", "t1"]
-    bench.end(0, _OK)
-    assert len(bench.dispatches) == 5
+    harness.end(0, _OK)
+    assert len(harness.dispatches) == 5
 
 
 def test_urgent_requests_go_first() -> None:
-    bench = _Bench()
-    bench.submit(1)
-    bench.submit(2)
-    bench.submit(3, urgent=True)
-    bench.end(0, _OK)
-    assert bench.dispatches[1].request_id == "r3"
+    harness = _RouterHarness()
+    harness.submit(1)
+    harness.submit(2)
+    harness.submit(3, urgent=True)
+    harness.end(0, _OK)
+    assert harness.dispatches[1].request_id == "r3"
 
 
 @pytest.mark.parametrize(
@@ -188,7 +188,7 @@
         ),
     ],
 )
-def test_end_of_dispatch(
+def test_result_of_dispatch(
     idempotent: bool,
     result: routing.TargetResult | None,
     sent: bool,
@@ -196,63 +196,66 @@
     reason: errors.Reason | str | None,
     run_state: errors.RunState | None,
 ) -> None:
-    bench = _Bench(targets=2)
-    bench.submit(1, idempotent=idempotent)
+    harness = _RouterHarness(targets=2)
+    harness.submit(1, idempotent=idempotent)
     if not idempotent:
-        assert not bench.dispatches
-        bench.record()
-    bench.end(0, result, sent=sent)
-    assert len(bench.dispatches) == dispatches
+        assert not harness.dispatches
+        harness.record()
+    harness.end(0, result, sent=sent)
+    assert len(harness.dispatches) == dispatches
     if reason == "retry":
-        assert 1 not in bench.answers
-        first, second = bench.dispatches
+        assert 1 not in harness.answers
+        first, second = harness.dispatches
         assert first.target_id != second.target_id
         return
-    assert bench.reason(1) == reason
-    assert bench.run_state(1) == run_state
+    assert harness.reason(1) == reason
+    assert harness.run_state(1) == run_state
 
 
 @pytest.mark.parametrize(
     ("idempotent", "deadline_after_s", "state"),
     [
         pytest.param(
-            True, 1.0, errors.RunState.NOT_RUN, id="queued_claims_to_have_run"
+            True, 1.0, errors.RunState.NOT_RUN, id="queued_reported_as_run"
         ),
         pytest.param(
-            False, 0.5, errors.RunState.NOT_RUN, id="unrecorded_intent"
+            False,
+            0.5,
+            errors.RunState.NOT_RUN,
+            id="unrecorded_intent_reported_as_run",
         ),
     ],
 )
 def test_deadline_of_unsent_request(
     idempotent: bool, deadline_after_s: float, state: errors.RunState
 ) -> None:
-    bench = _Bench(targets=0)
-    bench.submit(1, idempotent=idempotent, timeout_s=deadline_after_s)
-    bench.tick(deadline_after_s)
-    assert bench.reason(1) is errors.Reason.DEADLINE_EXCEEDED
-    assert bench.run_state(1) is state
-
-
-def test_deadline_of_sent_request_is_not_called_not_run() -> None:
-    bench = _Bench()
-    bench.submit(1, timeout_s=1.0)
-    bench.tick(1.0)
-    assert bench.run_state(1) is errors.RunState.UNKNOWN
-    # The slot stays in use until the target's answer.
-    bench.submit(2)
-    assert len(bench.dispatches) == 1
-    bench.end(0, _OK)
-    assert len(bench.dispatches) == 2
-
-
-def test_intent_that_is_late_does_not_start_a_refused_request() -> None:
-    bench = _Bench()
-    bench.submit(1, idempotent=False)
-    bench.tick(1.0)
-    assert bench.reason(1) is errors.Reason.STORE_UNAVAILABLE
-    assert bench.run_state(1) is errors.RunState.NOT_RUN
-    bench.feed(routing.IntentRecorded(call=1, token=1))
-    assert not bench.dispatches
+    harness = _RouterHarness(targets=0)
+    harness.submit(1, idempotent=idempotent, timeout_s=deadline_after_s)
+    harness.tick(deadline_after_s)
+    assert harness.reason(1) is errors.Reason.DEADLINE_EXCEEDED
+    assert harness.run_state(1) is state
+
+
+def test_sent_request_is_not_reported_as_not_run_at_its_deadline() -> None:
+    harness = _RouterHarness()
+    harness.submit(1, timeout_s=1.0)
+    harness.tick(1.0)
+    assert harness.run_state(1) is errors.RunState.UNKNOWN
+    # The slot stays in use until the target answers.
+    harness.submit(2)
+    assert len(harness.dispatches) == 1
+    harness.end(0, _OK)
+    assert len(harness.dispatches) == 2
+
+
+def test_late_intent_does_not_start_a_refused_request() -> None:
+    harness = _RouterHarness()
+    harness.submit(1, idempotent=False)
+    harness.tick(1.0)
+    assert harness.reason(1) is errors.Reason.STORE_UNAVAILABLE
+    assert harness.run_state(1) is errors.RunState.NOT_RUN
+    harness.feed(routing.IntentRecorded(call=1, token=1))
+    assert not harness.dispatches
 
 
 @pytest.mark.parametrize(
@@ -281,147 +284,147 @@
 def test_id_used_twice(
     stage: str, reason: errors.Reason, run_state: errors.RunState
 ) -> None:
-    bench = _Bench(targets=2)
-    bench.submit(1, idempotent=False, request_id="bill")
+    harness = _RouterHarness(targets=2)
+    harness.submit(1, idempotent=False, request_id="bill")
     if stage != "recording":
-        bench.record()
+        harness.record()
     if stage == "answered":
-        bench.end(0, _OK)
-    bench.submit(2, idempotent=False, request_id="bill")
-    assert bench.reason(2) is reason
-    assert bench.run_state(2) is run_state
-    assert len(bench.intents) == 1
+        harness.end(0, _OK)
+    harness.submit(2, idempotent=False, request_id="bill")
+    assert harness.reason(2) is reason
+    assert harness.run_state(2) is run_state
+    assert len(harness.intents) == 1
 
 
 def test_resent_request_gets_the_answer_of_its_first_run() -> None:
-    bench = _Bench(targets=2)
-    bench.submit(1, idempotent=False, request_id="bill")
-    bench.record()
-    bench.submit(2, idempotent=False, request_id="bill", resend=True)
-    bench.end(0, _OK)
-    assert bench.answers[2].body == b"done"
-    bench.submit(3, idempotent=False, request_id="bill", resend=True)
-    assert bench.answers[3].body == b"done"
-    assert len(bench.dispatches) == 1
-
-
-def test_resent_request_of_a_former_owner_is_unknown() -> None:
-    bench = _Bench()
+    harness = _RouterHarness(targets=2)
+    harness.submit(1, idempotent=False, request_id="bill")
+    harness.record()
+    harness.submit(2, idempotent=False, request_id="bill", resend=True)
+    harness.end(0, _OK)
+    assert harness.answers[2].body == b"done"
+    harness.submit(3, idempotent=False, request_id="bill", resend=True)
+    assert harness.answers[3].body == b"done"
+    assert len(harness.dispatches) == 1
+
+
+def test_resent_request_of_a_former_owner_has_unknown_outcome() -> None:
+    harness = _RouterHarness()
     event = coordination.make_outcome_event([("paid", 200)])
     ledger = coordination.LedgerState()
     coordination.begin_request(ledger, "bill", 1.0)
     intent = coordination.make_intent_event(ledger, ["bill"], 1)
-    bench.state.ledger = coordination.recover_ledger(
-        None, [intent, event], bench.now
+    harness.state.ledger = coordination.recover_ledger(
+        None, [intent, event], harness.now
     )
-    bench.submit(1, idempotent=False, request_id="bill", resend=True)
-    assert bench.reason(1) is errors.Reason.OUTCOME_UNKNOWN
-    bench.submit(2, idempotent=False, request_id="paid")
-    assert bench.run_state(2) is errors.RunState.RAN
-    assert not bench.intents
-
-
-def test_leaving_target_gets_nothing_new() -> None:
-    bench = _Bench(targets=2, slots=4)
-    bench.feed(routing.TargetLeaving(target_id="t0"))
-    # The list lags and still calls it live.
-    bench.feed(routing.TargetsChanged(instances=(_target(0, 4),)))
+    harness.submit(1, idempotent=False, request_id="bill", resend=True)
+    assert harness.reason(1) is errors.Reason.OUTCOME_UNKNOWN
+    harness.submit(2, idempotent=False, request_id="paid")
+    assert harness.run_state(2) is errors.RunState.RAN
+    assert not harness.intents
+
+
+def test_leaving_target_gets_no_new_request() -> None:
+    harness = _RouterHarness(targets=2, slots=4)
+    harness.feed(routing.TargetLeaving(target_id="t0"))
+    # The instance list lags and still shows the target as live.
+    harness.feed(routing.TargetsChanged(instances=(_target(0, 4),)))
     for call in range(4):
-        bench.submit(call)
-    assert {each.target_id for each in bench.dispatches} == {"t1"}
+        harness.submit(call)
+    assert {each.target_id for each in harness.dispatches} == {"t1"}
 
 
 def test_unclean_takeover_waits_for_slots_of_the_former_owner() -> None:
-    bench = _Bench(clean=False, slots=2)
-    bench.submit(1)
-    assert not bench.dispatches
-    bench.tick(4.9)
-    assert not bench.dispatches
-    bench.tick(0.2)
-    assert len(bench.dispatches) == 1
+    harness = _RouterHarness(clean=False, slots=2)
+    harness.submit(1)
+    assert not harness.dispatches
+    harness.tick(4.9)
+    assert not harness.dispatches
+    harness.tick(0.2)
+    assert len(harness.dispatches) == 1
 
 
 def test_busy_report_frees_slots_of_the_former_owner() -> None:
     policy = config.ServiceConfig(status_path="/s", request_limit_s=5.0)
-    bench = _Bench(clean=False, slots=3, policy=policy)
-    queries = [o for o in bench.others if isinstance(o, routing.QueryBusy)]
+    harness = _RouterHarness(clean=False, slots=3, policy=policy)
+    queries = [o for o in harness.others if isinstance(o, routing.QueryBusy)]
     assert [each.target_id for each in queries] == ["t0"]
     for call in range(4):
-        bench.submit(call)
-    bench.feed(routing.BusyReported(target_id="t0", busy=2))
-    assert len(bench.dispatches) == 1
+        harness.submit(call)
+    harness.feed(routing.BusyReported(target_id="t0", busy=2))
+    assert len(harness.dispatches) == 1
 
 
 def test_lost_connection_keeps_its_slot_occupied() -> None:
-    bench = _Bench()
-    bench.submit(1, idempotent=False)
-    bench.record()
-    bench.end(0, None, sent=True)
-    bench.submit(2)
-    assert len(bench.dispatches) == 1
-    bench.tick(5.0)
-    assert len(bench.dispatches) == 2
-
-
-def test_handover_sends_back_only_what_was_not_sent() -> None:
-    bench = _Bench()
-    bench.submit(1)
-    bench.submit(2)
-    bench.submit(3, idempotent=False)
-    bench.feed(routing.HandOver())
-    assert 1 not in bench.answers
+    harness = _RouterHarness()
+    harness.submit(1, idempotent=False)
+    harness.record()
+    harness.end(0, None, sent=True)
+    harness.submit(2)
+    assert len(harness.dispatches) == 1
+    harness.tick(5.0)
+    assert len(harness.dispatches) == 2
+
+
+def test_handover_refuses_only_unsent_requests() -> None:
+    harness = _RouterHarness()
+    harness.submit(1)
+    harness.submit(2)
+    harness.submit(3, idempotent=False)
+    harness.feed(routing.HandOver())
+    assert 1 not in harness.answers
     for call in (2, 3):
-        assert bench.reason(call) is errors.Reason.NOT_OWNER
-        assert bench.run_state(call) is errors.RunState.NOT_RUN
-    bench.end(0, _OK)
-    assert bench.reason(1) is None
-    assert len(bench.dispatches) == 1
+        assert harness.reason(call) is errors.Reason.NOT_OWNER
+        assert harness.run_state(call) is errors.RunState.NOT_RUN
+    harness.end(0, _OK)
+    assert harness.reason(1) is None
+    assert len(harness.dispatches) == 1
 
 
 def test_lost_lease_refuses_as_not_run() -> None:
-    bench = _Bench()
-    bench.submit(1, idempotent=False)
-    bench.record()
-    bench.end(0, None, sent=False, lease_lost=True)
-    assert bench.reason(1) is errors.Reason.LEASE_LOST
-    assert bench.run_state(1) is errors.RunState.NOT_RUN
-    assert [each.status for each in bench.outcomes] == [
+    harness = _RouterHarness()
+    harness.submit(1, idempotent=False)
+    harness.record()
+    harness.end(0, None, sent=False, lease_lost=True)
+    assert harness.reason(1) is errors.Reason.LEASE_LOST
+    assert harness.run_state(1) is errors.RunState.NOT_RUN
+    assert [each.status for each in harness.outcomes] == [
         coordination.NOT_RUN_STATUS
     ]
 
 
-def test_failing_target_is_ejected_but_never_too_many() -> None:
-    bench = _Bench(targets=5, slots=2, policy=config.ServiceConfig())
+def test_ejection_of_failing_targets_is_limited() -> None:
+    harness = _RouterHarness(targets=5, slots=2, policy=config.ServiceConfig())
     for call in range(80):
-        bench.submit(call)
+        harness.submit(call)
         result = (
-            _OK if bench.dispatches[-1].target_id in ("t0", "t1") else _ERROR
+            _OK if harness.dispatches[-1].target_id in ("t0", "t1") else _ERROR
         )
-        while len(bench.state.dispatches):
-            last = next(iter(bench.state.dispatches))
+        while len(harness.state.dispatches):
+            last = next(iter(harness.state.dispatches))
             index = next(
                 number
-                for number, each in enumerate(bench.dispatches)
+                for number, each in enumerate(harness.dispatches)
                 if each.dispatch_id == last
             )
-            target_id = bench.dispatches[index].target_id
+            target_id = harness.dispatches[index].target_id
             result = _OK if target_id in ("t0", "t1") else _ERROR
-            bench.end(index, result)
-    ejected = [e for e in bench.others if isinstance(e, routing.Ejected)]
+            harness.end(index, result)
+    ejected = [e for e in harness.others if isinstance(e, routing.Ejected)]
     assert len(ejected) == 1
     assert ejected[0].target_id not in ("t0", "t1")
 
 
 def test_hedge_is_sent_to_another_target() -> None:
     policy = config.ServiceConfig(hedge_after_s=0.5)
-    bench = _Bench(targets=2, policy=policy)
-    bench.submit(1)
-    bench.tick(0.6)
-    assert [each.target_id for each in bench.dispatches] == ["t0", "t1"]
-    bench.end(1, _OK)
-    assert bench.reason(1) is None
-    bench.end(0, _OK)
-    assert len(bench.answers) == 1
+    harness = _RouterHarness(targets=2, policy=policy)
+    harness.submit(1)
+    harness.tick(0.6)
+    assert [each.target_id for each in harness.dispatches] == ["t0", "t1"]
+    harness.end(1, _OK)
+    assert harness.reason(1) is None
+    harness.end(0, _OK)
+    assert len(harness.answers) == 1
 
 
 @pytest.mark.parametrize(
@@ -430,72 +433,74 @@
         pytest.param(
             {"timeout_s": -1.0},
             errors.Reason.DEADLINE_EXCEEDED,
-            id="past_deadline",
+            id="past_deadline_accepted",
         ),
         pytest.param(
-            {"team": "nobody"}, errors.Reason.UNKNOWN_TEAM, id="unknown_team"
+            {"team": "nobody"},
+            errors.Reason.UNKNOWN_TEAM,
+            id="unknown_team_accepted",
         ),
     ],
 )
 def test_refused_on_arrival(
     submit: dict[str, object], reason: errors.Reason
 ) -> None:
-    bench = _Bench()
-    bench.submit(1, **submit)
-    assert bench.reason(1) is reason
-    assert bench.run_state(1) is errors.RunState.NOT_RUN
-    assert not bench.dispatches
+    harness = _RouterHarness()
+    harness.submit(1, **submit)
+    assert harness.reason(1) is reason
+    assert harness.run_state(1) is errors.RunState.NOT_RUN
+    assert not harness.dispatches
 
 
 def test_full_queue_refuses() -> None:
-    bench = _Bench(targets=0)
+    harness = _RouterHarness(targets=0)
     for call in range(6):
-        bench.submit(call)
-    assert bench.reason(5) is errors.Reason.QUEUE_FULL
-    assert bench.run_state(5) is errors.RunState.NOT_RUN
+        harness.submit(call)
+    assert harness.reason(5) is errors.Reason.QUEUE_FULL
+    assert harness.run_state(5) is errors.RunState.NOT_RUN
 
 
 def test_timers_of_ended_calls_are_dropped() -> None:
-    """Guards against memory that grows with the callers' patience."""
-    bench = _Bench(targets=1, slots=1, policy=config.ServiceConfig())
+    """Guards against memory growth when callers set long deadlines."""
+    harness = _RouterHarness(targets=1, slots=1, policy=config.ServiceConfig())
     for call in range(3000):
-        bench.submit(call, timeout_s=3600.0)
-        bench.end(call, _OK)
-    bench.tick()
-    assert len(bench.state.deadlines) <= 1024
-    bench.submit(5000, timeout_s=1.0)
-    bench.tick(1.0)
-    assert bench.reason(5000) is errors.Reason.DEADLINE_EXCEEDED
+        harness.submit(call, timeout_s=3600.0)
+        harness.end(call, _OK)
+    harness.tick()
+    assert len(harness.state.deadlines) <= 1024
+    harness.submit(5000, timeout_s=1.0)
+    harness.tick(1.0)
+    assert harness.reason(5000) is errors.Reason.DEADLINE_EXCEEDED
 
 
 @pytest.mark.parametrize(
     "changes",
     [
-        pytest.param({"timeout_s": -1.0}, id="past_deadline_first"),
-        pytest.param({"team": "nobody"}, id="unknown_team_first"),
+        pytest.param({"timeout_s": -1.0}, id="past_deadline_hides_known_id"),
+        pytest.param({"team": "nobody"}, id="unknown_team_hides_known_id"),
     ],
 )
-def test_id_that_ran_is_never_called_not_run(changes: dict) -> None:
-    bench = _Bench()
-    bench.submit(1, idempotent=False, request_id="bill")
-    bench.record()
-    bench.end(0, _OK)
-    bench.submit(2, idempotent=False, request_id="bill", **changes)
-    assert bench.reason(2) is errors.Reason.DUPLICATE_ID
-    assert bench.run_state(2) is errors.RunState.RAN
+def test_known_id_is_never_reported_as_not_run(changes: dict) -> None:
+    harness = _RouterHarness()
+    harness.submit(1, idempotent=False, request_id="bill")
+    harness.record()
+    harness.end(0, _OK)
+    harness.submit(2, idempotent=False, request_id="bill", **changes)
+    assert harness.reason(2) is errors.Reason.DUPLICATE_ID
+    assert harness.run_state(2) is errors.RunState.RAN
 
 
-def test_call_that_a_second_caller_waits_for_is_not_dropped() -> None:
-    """Guards against an id that is first in progress and then unknown.
+def test_call_reported_as_in_progress_survives_cancellation() -> None:
+    """Guards against dropping a call that was reported as in progress.
 
-    A caller whose entry was killed asks another one, before the owner has
-    noticed that the first connection is gone.
+    The entry of a caller is killed and the caller retries through another
+    entry before the owner notices that the first connection is closed.
     """
-    bench = _Bench()
-    bench.submit(1, idempotent=False, request_id="bill")
-    bench.submit(2, idempotent=False, request_id="bill")
-    assert bench.reason(2) is errors.Reason.DUPLICATE_ID
-    bench.feed(routing.CancelCall(call=1))
-    bench.record()
-    bench.end(0, _OK)
-    assert bench.state.answers["bill"].body == b"done"
+    harness = _RouterHarness()
+    harness.submit(1, idempotent=False, request_id="bill")
+    harness.submit(2, idempotent=False, request_id="bill")
+    assert harness.reason(2) is errors.Reason.DUPLICATE_ID
+    harness.feed(routing.CancelCall(call=1))
+    harness.record()
+    harness.end(0, _OK)
+    assert harness.state.answers["bill"].body == b"done"
--- a/chestnuttide/routing/tests/test_router_properties.py
+++ b/chestnuttide/routing/tests/test_router_properties.py
@@ -1,4 +1,4 @@
-"""Random orders of events; the targets are modelled by their true state."""
+"""Property test of the router with random events and simulated targets."""
 
 import collections
 
@@ -44,8 +44,8 @@
 )
 
 
-class _World:
-    """The router, the targets as they really are, and what was promised."""
+class _Simulation:
+    """The router, simulated targets and the checked invariants."""
 
     def __init__(self) -> None:
         self.now = 10.0
@@ -65,8 +65,8 @@
         self.intents: list[routing.RecordIntent] = []
         self.open: list[routing.Dispatch] = []
         self.ran: collections.Counter[str] = collections.Counter()
-        # Requests that run on although their connection was cut, with the
-        # time at which they end at the latest.
+        # Targets of requests that may still be running after their connection
+        # broke, with the latest time at which they end.
         self.orphans: list[tuple[str, float]] = []
         self.left: dict[str, float] = {}
         self.handed_over = False
@@ -211,22 +211,27 @@
     max_examples=100, derandomize=True, deadline=None, database=None
 )
 @hypothesis.given(events=_EVENTS)
-def test_random_orders(
+def test_random_events(
     events: list[tuple[str, int]],
 ) -> None:
-    """Guards slots, at most once, one answer each and truthful refusals."""
-    world = _World()
+    """Guards slot limits, at-most-once runs, single answers and refusals.
+
+    A failure means that slots were overrun, that a non-idempotent request
+    ran twice, that a call got two answers or none, or that a request that
+    ran was reported as not run.
+    """
+    simulation = _Simulation()
     for kind, choice in events:
-        world.step(kind, choice)
-        world.check_answers()
-    for request_id, count in world.ran.items():
+        simulation.step(kind, choice)
+        simulation.check_answers()
+    for request_id, count in simulation.ran.items():
         if request_id.startswith("once-"):
             assert count <= 1, "a non-idempotent request ran twice"
-    # Every caller gets an answer: all targets answer, then time passes.
+    # All targets answer, then all deadlines pass: every call is answered.
     for _ in range(200):
-        if not world.open:
+        if not simulation.open:
             break
-        world.end(0, "answer")
-    world.now += 60.0
-    world.feed(routing.Tick())
-    assert set(world.answers) == set(world.submitted)
+        simulation.end(0, "answer")
+    simulation.now += 60.0
+    simulation.feed(routing.Tick())
+    assert set(simulation.answers) == set(simulation.submitted)
