--- a/chestnuttide/config/__init__.py
+++ b/chestnuttide/config/__init__.py
@@ -1,4 +1,4 @@
-"""The versioned configuration of a cell."""
+"""Versioned configuration of a cell."""
 
 from chestnuttide.config import _document
 from chestnuttide.config import _filter
--- a/chestnuttide/config/_document.py
+++ b/chestnuttide/config/_document.py
@@ -1,4 +1,4 @@
-"""The typed form of the cell's configuration document."""
+"""Typed form of the cell's configuration document."""
 
 import attrs
 
@@ -20,7 +20,7 @@
     max_attempts : int
         Attempts for an idempotent request, the first one included.
     retry_ratio : float
-        Retries allowed per request, over time.
+        Average number of retries allowed per request.
     hedge_after_s : float
         Seconds after which an idempotent request is sent a second time; 0
         switches hedging off.
@@ -66,15 +66,16 @@
     Attributes
     ----------
     weight : float
-        Share of capacity against other waiting teams.
+        Relative share of capacity among teams that have work waiting.
     cpu_millis : int
-        Most processor time held at once; 0 for no quota.
+        Most CPU reserved at once, in thousandths of a core; 0 for no quota.
     memory_mb : int
-        Most memory held at once; 0 for no quota.
+        Most memory reserved at once, in MB; 0 for no quota.
     accelerators : int
-        Most accelerators held at once; 0 for no quota.
+        Most accelerators reserved at once; 0 for no quota.
     request_limit : int
-        Most requests of the team waiting in one shard; 0 for no quota.
+        Most requests of the team that may wait in one shard; 0 for no
+        quota.
     """
 
     weight: float = attrs.field(default=1.0, validator=attrs.validators.gt(0))
@@ -107,7 +108,7 @@
     max_attempts : int
         Failed attempts on different workers after which the job fails.
     minimum_up : int
-        Tasks of a service that preemption and replacement keep up.
+        Tasks of a service that preemption and replacement leave running.
     """
 
     preemptible: bool = False
@@ -132,13 +133,15 @@
     long_run_s : float
         Expected run time in seconds above which work counts as long.
     long_share : float
-        Share of the pool that long work may hold while short work waits.
+        Largest share of the pool that long work may occupy while short work
+        waits.
     task_lease_s : float
-        Lease of a task on its worker, in seconds.
+        Duration in seconds of a task's lease on its worker.
     gang_reservation_s : float
         Longest time in seconds that a reservation for a gang is kept.
     eject_failures : int
-        Consecutive failures of distinct tasks that eject a worker.
+        Consecutive failures of distinct tasks after which a worker is
+        ejected.
     eject_s : float
         Seconds for which an ejected worker is left out before it is probed.
     eject_share : float
@@ -192,7 +195,7 @@
     workload_classes : dict of str to ClassConfig
         Workload classes by name.
     pool : PoolConfig
-        Limits that hold for each pool of workers.
+        Limits that apply to each pool of workers.
     """
 
     services: dict[str, ServiceConfig] = attrs.field(factory=dict)
--- a/chestnuttide/config/_filter.py
+++ b/chestnuttide/config/_filter.py
@@ -1,10 +1,11 @@
 """The filter that accepts patches and keeps the newest version in force.
 
 An instance has one patch in flight. Its write creates the key of the version
-after the head. Whatever the store answers, the key's value decides: with our
-write id the patch is accepted, with another one that version is adopted and
-the patch is planned again for the next. A write that was not answered is read
-back, and sent again with the same write id while the key is absent.
+after the head. The value of that key decides the result, whatever the store
+answers: if it has the write id of the patch, the patch is accepted; otherwise
+the instance adopts that version and plans the patch again for the next one. A
+write without an answer is read back, and repeated with the same write id while
+the key is absent.
 """
 
 import collections
@@ -19,27 +20,28 @@
 from chestnuttide import errors
 from chestnuttide import pipes
 
+# Versions between two snapshots.
 SNAPSHOT_EVERY: typing.Final = 64
 
-# Seconds after which a patch is answered although the store left it open.
+# Seconds after which a patch that is still undecided is refused.
 PATCH_WAIT_S: typing.Final = 10.0
 
-# Seconds before a store call is tried again; doubles up to the maximum.
-RETRY_S: typing.Final = 0.1
-RETRY_MAX_S: typing.Final = 2.0
+# Seconds before a store call is retried; doubles up to the maximum.
+RETRY_DELAY_S: typing.Final = 0.1
+MAX_RETRY_DELAY_S: typing.Final = 2.0
 
-# Seconds before missing versions are asked for again.
-FETCH_S: typing.Final = 1.0
+# Seconds between two requests for missing versions.
+FETCH_INTERVAL_S: typing.Final = 1.0
 
-# Patches that may wait at one instance for the one in flight.
-WAITING_LIMIT: typing.Final = 256
+# Patches that may wait at one instance behind the one in flight.
+MAX_WAITING_PATCHES: typing.Final = 256
 
-# Versions above a gap that are kept until the gap is filled.
-AHEAD_LIMIT: typing.Final = 256
+# Versions above a gap that are buffered until the gap is filled.
+MAX_BUFFERED_VERSIONS: typing.Final = 256
 
 
 class _Phase(enum.Enum):
-    """What the patch in flight waits for."""
+    """The call or delay that the patch in flight waits for."""
 
     WRITING = "writing"
     READING = "reading"
@@ -56,18 +58,19 @@
     submitted : SubmitPatch
         The submission.
     since : float
-        When it was submitted.
+        Time of its submission.
     version : int
         Version whose key is written or read.
     value : bytes
-        Value to write; empty while the instance only catches up.
+        Value to write; empty if the instance only reads newer versions to
+        catch up.
     written : bool
-        Whether a write of `version` was sent, so that it may exist.
+        Whether a write of `version` was sent and may have taken effect.
     phase : _Phase
-        What it waits for.
+        The call or delay that it waits for.
     retry_at : float
-        When a later phase begins.
-    retry_s : float
+        Earliest time of a delayed call.
+    retry_delay_s : float
         Delay of the next retry.
     """
 
@@ -78,7 +81,7 @@
     written: bool = False
     phase: _Phase = _Phase.WRITING
     retry_at: float = 0.0
-    retry_s: float = RETRY_S
+    retry_delay_s: float = RETRY_DELAY_S
 
 
 @attrs.define(kw_only=True, slots=True)
@@ -94,13 +97,13 @@
     in_flight : _InFlight or None
         The patch that is being written.
     waiting : deque of (SubmitPatch, float)
-        Patches that wait for it, with the times of their submission.
+        Patches that wait behind it, with the times of their submission.
     ahead : dict of int to PatchEntry
-        Versions above a gap.
+        Buffered versions above a gap.
     seen_version : int
-        Newest version that a peer has named.
+        Newest version known to exist.
     fetch_at : float
-        When missing versions may be asked for again.
+        Earliest time of the next request for missing versions.
     """
 
     history: _history.History = attrs.field(factory=_history.History)
@@ -119,15 +122,14 @@
 def make_config_filter(
     state: ConfigState | None = None, patch_wait_s: float = PATCH_WAIT_S
 ) -> pipes.Filter:
-    """Return the filter of one instance's configuration.
+    """Return the configuration filter of one instance.
 
     Parameters
     ----------
     state : ConfigState, optional
-        The state, which the filter changes; a new one by default.
+        State that the filter changes; a new one by default.
     patch_wait_s : float
-        Seconds after which a patch is answered although the store left it
-        open.
+        Seconds after which a patch that is still undecided is refused.
 
     Returns
     -------
@@ -143,8 +145,8 @@
     handlers = {
         _messages.SubmitPatch: _on_submit,
         _messages.WriteSucceeded: _on_write_succeeded,
-        _messages.WriteConflict: _on_write_open,
-        _messages.WriteUnanswered: _on_write_open,
+        _messages.WriteConflict: _on_write_unresolved,
+        _messages.WriteUnanswered: _on_write_unresolved,
         _messages.ReadBack: _on_read_back,
         _messages.ReadUnanswered: _on_read_unanswered,
         _messages.PatchesReceived: _on_patches,
@@ -163,12 +165,12 @@
                 raise TypeError(f"config: unexpected message {message!r}")
             handler(current, message, now, out)
         _adopt_ahead(current)
-        _settle(current, now, out)
+        _resolve_adopted(current, now, out)
         _start_next(current, now, out)
         if current.history.version > before:
-            # In force first, so that an accepted patch is in force at this
-            # instance when its author hears of it.
-            out[:0] = _put_in_force(current)
+            # These outputs go first, so that an accepted patch is in force at
+            # this instance before its author is told.
+            out[:0] = _activate_head(current)
         _fetch_missing(current, now, out)
         return out
 
@@ -181,10 +183,12 @@
     now: float,
     out: list[object],
 ) -> None:
-    if len(state.waiting) >= WAITING_LIMIT:
+    if len(state.waiting) >= MAX_WAITING_PATCHES:
         error = errors.RefusedError(
             reason=errors.Reason.QUEUE_FULL,
-            message=f"{WAITING_LIMIT} patches wait at this instance.",
+            message=(
+                f"{MAX_WAITING_PATCHES} patches are waiting at this instance."
+            ),
             remedy="Submit the patch again later.",
         )
         out.append(_messages.PatchRefused(token=message.token, error=error))
@@ -198,27 +202,27 @@
     now: float,
     out: list[object],
 ) -> None:
-    flight = _match_write(state, message)
-    if flight is None:
+    in_flight = _match_write(state, message)
+    if in_flight is None:
         return
-    entry = _history.decode_entry(flight.version, flight.value)
+    entry = _history.decode_entry(in_flight.version, in_flight.value)
     if entry.version == state.history.version + 1:
         state.history = _history.adopt(state.history, entry)
     else:
-        # A snapshot took the head past this version.
-        _decide(state, flight, entry, now, out)
+        # A snapshot has moved the head past this version.
+        _resolve(state, in_flight, entry, now, out)
 
 
-def _on_write_open(
+def _on_write_unresolved(
     state: ConfigState,
     message: _messages.WriteConflict | _messages.WriteUnanswered,
     now: float,
     out: list[object],
 ) -> None:
-    """Read the key, because a lost earlier write may have created it."""
-    flight = _match_write(state, message)
-    if flight is not None and flight.phase is _Phase.WRITING:
-        _read(flight, out)
+    """Read the key, which an earlier unanswered write may have created."""
+    in_flight = _match_write(state, message)
+    if in_flight is not None and in_flight.phase is _Phase.WRITING:
+        _send_read(in_flight, out)
 
 
 def _on_read_back(
@@ -228,15 +232,15 @@
     out: list[object],
 ) -> None:
     version = _history.version_of_key(message.key)
-    flight = state.in_flight
+    in_flight = state.in_flight
     awaited = (
-        flight is not None
-        and flight.version == version
-        and flight.phase is _Phase.READING
+        in_flight is not None
+        and in_flight.version == version
+        and in_flight.phase is _Phase.READING
     )
     if message.value is None:
         if awaited:
-            _on_absent(state, flight, now, out)
+            _on_key_absent(state, in_flight, now, out)
         return
     try:
         entry = _history.decode_entry(version, message.value)
@@ -248,7 +252,7 @@
                 errors.RefusedError(
                     reason=errors.Reason.INTERNAL,
                     message=f"Stored version {version} cannot be decoded.",
-                    remedy="Find out who wrote it.",
+                    remedy="Find out which program wrote it.",
                 ),
                 out,
             )
@@ -256,25 +260,25 @@
     if version == state.history.version + 1:
         state.history = _history.adopt(state.history, entry)
     elif awaited and version <= state.history.version:
-        # A snapshot took the head past this version, so `_settle` does not
-        # find its patch in the history.
-        _decide(state, flight, entry, now, out)
+        # A snapshot has moved the head past this version, so that
+        # `_resolve_adopted` cannot find its patch in the history.
+        _resolve(state, in_flight, entry, now, out)
 
 
-def _on_absent(
-    state: ConfigState, flight: _InFlight, now: float, out: list[object]
+def _on_key_absent(
+    state: ConfigState, in_flight: _InFlight, now: float, out: list[object]
 ) -> None:
-    if flight.value:
-        _retry(flight, _Phase.WRITE_LATER, now)
+    if in_flight.value:
+        _schedule_retry(in_flight, _Phase.WRITE_LATER, now)
         return
-    # The instance was catching up; the store knows no later version.
+    # The instance was catching up and the store has no newer version.
     try:
         _history.plan_patch(
             state.history,
-            base=flight.submitted.base,
-            patch=flight.submitted.patch,
-            author=flight.submitted.author,
-            write_id=flight.submitted.write_id,
+            base=in_flight.submitted.base,
+            patch=in_flight.submitted.patch,
+            author=in_flight.submitted.author,
+            write_id=in_flight.submitted.write_id,
         )
     except errors.RefusedError as error:
         _refuse_in_flight(state, error, out)
@@ -286,13 +290,13 @@
     now: float,
     out: list[object],
 ) -> None:
-    flight = state.in_flight
+    in_flight = state.in_flight
     if (
-        flight is not None
-        and flight.phase is _Phase.READING
-        and _history.entry_key(flight.version) == message.key
+        in_flight is not None
+        and in_flight.phase is _Phase.READING
+        and _history.entry_key(in_flight.version) == message.key
     ):
-        _retry(flight, _Phase.READ_LATER, now)
+        _schedule_retry(in_flight, _Phase.READ_LATER, now)
 
 
 def _on_patches(
@@ -309,7 +313,7 @@
     )
     for entry in fresh:
         state.seen_version = max(state.seen_version, entry.version)
-        if len(state.ahead) < AHEAD_LIMIT or (
+        if len(state.ahead) < MAX_BUFFERED_VERSIONS or (
             entry.version == state.history.version + 1
         ):
             state.ahead[entry.version] = entry
@@ -339,35 +343,39 @@
 def _on_tick(
     state: ConfigState, now: float, patch_wait_s: float, out: list[object]
 ) -> None:
-    flight = state.in_flight
-    if flight is not None:
-        if now - flight.since >= patch_wait_s:
-            _refuse_in_flight(state, _store_silent(flight.written), out)
-        elif now >= flight.retry_at:
-            if flight.phase is _Phase.WRITE_LATER:
-                _write(flight, out)
-            elif flight.phase is _Phase.READ_LATER:
-                _read(flight, out)
+    in_flight = state.in_flight
+    if in_flight is not None:
+        if now - in_flight.since >= patch_wait_s:
+            _refuse_in_flight(
+                state, _make_timeout_error(in_flight.written), out
+            )
+        elif now >= in_flight.retry_at:
+            if in_flight.phase is _Phase.WRITE_LATER:
+                _send_write(in_flight, out)
+            elif in_flight.phase is _Phase.READ_LATER:
+                _send_read(in_flight, out)
     while state.waiting and now - state.waiting[0][1] >= patch_wait_s:
         submitted, _ = state.waiting.popleft()
         out.append(
             _messages.PatchRefused(
-                token=submitted.token, error=_store_silent(False)
+                token=submitted.token, error=_make_timeout_error(False)
             )
         )
 
 
-def _store_silent(written: bool) -> errors.RefusedError:
+def _make_timeout_error(written: bool) -> errors.RefusedError:
     if written:
         return errors.RefusedError(
             reason=errors.Reason.OUTCOME_UNKNOWN,
-            message="The store did not say whether it took the patch.",
-            remedy="Look for the patch in the history before a new attempt.",
+            message="The store did not confirm whether it stored the patch.",
+            remedy=(
+                "Look for the patch in the history before submitting it again."
+            ),
             run_state=errors.RunState.UNKNOWN,
         )
     return errors.RefusedError(
         reason=errors.Reason.STORE_UNAVAILABLE,
-        message="The store does not answer; the patch was not written.",
+        message="The store is not responding; the patch was not written.",
         remedy="Submit the patch again later.",
     )
 
@@ -381,19 +389,19 @@
     ),
 ) -> _InFlight | None:
     """Return the patch in flight if the message is about its write."""
-    flight = state.in_flight
+    in_flight = state.in_flight
     if (
-        flight is None
-        or not flight.written
-        or flight.submitted.write_id != message.write_id
-        or _history.entry_key(flight.version) != message.key
+        in_flight is None
+        or not in_flight.written
+        or in_flight.submitted.write_id != message.write_id
+        or _history.entry_key(in_flight.version) != message.key
     ):
         return None
-    return flight
+    return in_flight
 
 
 def _adopt_ahead(state: ConfigState) -> None:
-    """Adopt the versions above a gap that has been filled."""
+    """Adopt buffered versions that directly follow the head."""
     while state.history.version + 1 in state.ahead:
         entry = state.ahead.pop(state.history.version + 1)
         state.history = _history.adopt(state.history, entry)
@@ -403,36 +411,38 @@
             del state.ahead[version]
 
 
-def _settle(state: ConfigState, now: float, out: list[object]) -> None:
-    """Decide the patch in flight if its version has been adopted."""
-    flight = state.in_flight
-    if flight is None or flight.version > state.history.version:
+def _resolve_adopted(
+    state: ConfigState, now: float, out: list[object]
+) -> None:
+    """Resolve the patch in flight if its version has been adopted."""
+    in_flight = state.in_flight
+    if in_flight is None or in_flight.version > state.history.version:
         return
-    entry = _history.find_entry(state.history, flight.version)
+    entry = _history.find_entry(state.history, in_flight.version)
     if entry is not None:
-        _decide(state, flight, entry, now, out)
-    elif not flight.written:
-        _plan(state, flight, now, out)
-    elif flight.phase is _Phase.WRITE_LATER:
-        # A snapshot took the head past the version, so its key exists.
-        flight.phase = _Phase.READ_LATER
+        _resolve(state, in_flight, entry, now, out)
+    elif not in_flight.written:
+        _plan_write(state, in_flight, now, out)
+    elif in_flight.phase is _Phase.WRITE_LATER:
+        # A snapshot has moved the head past the version, so its key exists.
+        in_flight.phase = _Phase.READ_LATER
 
 
-def _decide(
+def _resolve(
     state: ConfigState,
-    flight: _InFlight,
+    in_flight: _InFlight,
     entry: _history.PatchEntry,
     now: float,
     out: list[object],
 ) -> None:
-    """Accept the patch in flight if the entry is its own, else plan anew."""
-    if entry.write_id != flight.submitted.write_id:
-        _plan(state, flight, now, out)
+    """Accept the patch in flight if the entry is its own; else replan it."""
+    if entry.write_id != in_flight.submitted.write_id:
+        _plan_write(state, in_flight, now, out)
         return
     state.in_flight = None
     out.append(
         _messages.PatchAccepted(
-            token=flight.submitted.token, version=entry.version
+            token=in_flight.submitted.token, version=entry.version
         )
     )
     out.append(_messages.Broadcast(entries=(entry,)))
@@ -460,29 +470,29 @@
     while state.in_flight is None and state.waiting:
         submitted, since = state.waiting.popleft()
         state.in_flight = _InFlight(submitted=submitted, since=since)
-        _plan(state, state.in_flight, now, out)
+        _plan_write(state, state.in_flight, now, out)
 
 
-def _plan(
-    state: ConfigState, flight: _InFlight, now: float, out: list[object]
+def _plan_write(
+    state: ConfigState, in_flight: _InFlight, now: float, out: list[object]
 ) -> None:
     """Write the patch as the version after the head, or refuse it."""
-    submitted = flight.submitted
+    submitted = in_flight.submitted
     head = state.history.version
-    flight.retry_at = now
-    flight.retry_s = RETRY_S
-    flight.written = False
+    in_flight.retry_at = now
+    in_flight.retry_delay_s = RETRY_DELAY_S
+    in_flight.written = False
     known = _history.find_write(state.history, submitted.write_id)
     if known is not None:
-        # Another instance made it a version before its answer was lost.
-        flight.version = known.version
-        _decide(state, flight, known, now, out)
+        # Another instance stored it as a version but its answer was lost.
+        in_flight.version = known.version
+        _resolve(state, in_flight, known, now, out)
         return
     if type(submitted.base) is int and submitted.base > head:
-        # The author read a version that this instance has not heard of yet.
-        flight.version = head + 1
-        flight.value = b""
-        _read(flight, out)
+        # The author has read a version that this instance does not know yet.
+        in_flight.version = head + 1
+        in_flight.value = b""
+        _send_read(in_flight, out)
         return
     try:
         planned = _history.plan_patch(
@@ -495,32 +505,34 @@
     except errors.RefusedError as error:
         _refuse_in_flight(state, error, out)
         return
-    flight.version = planned.version
-    flight.value = planned.value
-    _write(flight, out)
+    in_flight.version = planned.version
+    in_flight.value = planned.value
+    _send_write(in_flight, out)
 
 
-def _write(flight: _InFlight, out: list[object]) -> None:
-    flight.phase = _Phase.WRITING
-    flight.written = True
+def _send_write(in_flight: _InFlight, out: list[object]) -> None:
+    in_flight.phase = _Phase.WRITING
+    in_flight.written = True
     out.append(
         _messages.WritePatch(
-            key=_history.entry_key(flight.version),
-            value=flight.value,
-            write_id=flight.submitted.write_id,
+            key=_history.entry_key(in_flight.version),
+            value=in_flight.value,
+            write_id=in_flight.submitted.write_id,
         )
     )
 
 
-def _read(flight: _InFlight, out: list[object]) -> None:
-    flight.phase = _Phase.READING
-    out.append(_messages.ReadKey(key=_history.entry_key(flight.version)))
+def _send_read(in_flight: _InFlight, out: list[object]) -> None:
+    in_flight.phase = _Phase.READING
+    out.append(_messages.ReadKey(key=_history.entry_key(in_flight.version)))
 
 
-def _retry(flight: _InFlight, phase: _Phase, now: float) -> None:
-    flight.phase = phase
-    flight.retry_at = now + flight.retry_s
-    flight.retry_s = min(2 * flight.retry_s, RETRY_MAX_S)
+def _schedule_retry(in_flight: _InFlight, phase: _Phase, now: float) -> None:
+    in_flight.phase = phase
+    in_flight.retry_at = now + in_flight.retry_delay_s
+    in_flight.retry_delay_s = min(
+        2 * in_flight.retry_delay_s, MAX_RETRY_DELAY_S
+    )
 
 
 def _refuse_in_flight(
@@ -534,7 +546,7 @@
     state.in_flight = None
 
 
-def _put_in_force(state: ConfigState) -> list[object]:
+def _activate_head(state: ConfigState) -> list[object]:
     version = state.history.version
     try:
         state.cell_config = _history.structure(state.history.document)
@@ -548,5 +560,5 @@
 def _fetch_missing(state: ConfigState, now: float, out: list[object]) -> None:
     if state.seen_version <= state.history.version or now < state.fetch_at:
         return
-    state.fetch_at = now + FETCH_S
+    state.fetch_at = now + FETCH_INTERVAL_S
     out.append(_messages.FetchMissing(after_version=state.history.version))
--- a/chestnuttide/config/_history.py
+++ b/chestnuttide/config/_history.py
@@ -1,8 +1,8 @@
-"""Versions of the configuration document, and the rule to make the next.
+"""Versions of the configuration document and the rules for the next one.
 
-Version n exists when the store key of version n does; version 0 is the empty
-document. A key is created once and never changed or deleted: a stale instance
-could otherwise create an old version a second time.
+Version n exists if the store key of version n does; version 0 is the empty
+document. A key is created once and never changed or deleted, because a stale
+instance could otherwise create an old version a second time.
 """
 
 import collections.abc
@@ -22,28 +22,28 @@
 SNAPSHOT_KEY: typing.Final = "config/snapshot"
 VERSION_DIGITS: typing.Final = 12
 
-# A range over all but the last two digits of a version lists at most 100
-# patches, which covers the distance between two snapshots.
-_RANGE_DIGITS: typing.Final = 10
+# A range read over all but the last two digits of a version returns at most
+# 100 patches, which covers the distance between two snapshots.
+_RANGE_PREFIX_DIGITS: typing.Final = 10
 
-# Largest stored patch in bytes; store values may have up to 1 MB.
+# Largest stored patch in bytes; the store allows values of up to 1 MB.
 MAX_PATCH_BYTES: typing.Final = 262_144
 
-# The document has three levels of objects. Deeper patches are refused before
-# any recursive function sees them.
+# Most levels of nested objects in a patch; the document has three. Deeper
+# patches are refused before they reach a recursive function.
 MAX_PATCH_DEPTH: typing.Final = 16
 
-# Kept patches: 1,024 are the changes of five hours at 4,500 a day. The bytes
-# bound the memory if patches are large.
-KEPT_PATCHES: typing.Final = 1_024
-KEPT_BYTES: typing.Final = 4_194_304
+# Limits of the patches kept in memory: 1,024 cover five hours at 4,500 changes
+# a day, and the size limit bounds memory when patches are large.
+MAX_KEPT_PATCHES: typing.Final = 1_024
+MAX_KEPT_BYTES: typing.Final = 4_194_304
 
-# Largest chunk of a snapshot in bytes; the design sets 512 KB.
+# Largest chunk of a snapshot in bytes; the design allows 512 KB.
 SNAPSHOT_CHUNK_BYTES: typing.Final = 500_000
 
-# Names become parts of store keys, in which "/" separates the parts.
+# Names become parts of store keys, where "/" is the separator.
 _NAME_PATTERN: typing.Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-_NAME_WORDS: typing.Final = (
+_NAME_DESCRIPTION: typing.Final = (
     "a name of 1 to 63 letters, digits, '.', '_' and '-'"
 )
 
@@ -55,13 +55,13 @@
     Attributes
     ----------
     version : int
-        Version that the patch made.
+        Version that the patch created.
     base : int
         Version that its author had read.
     patch : dict
         JSON merge patch.
     author : str
-        Who submitted it.
+        Name of the submitter.
     write_id : str
         Id of the write that created the version.
     size_bytes : int
@@ -87,15 +87,15 @@
     document : dict
         JSON document of the head.
     recent : tuple of PatchEntry
-        The kept patches, oldest first, without gaps up to the head.
-    kept_document : dict
+        Newest patches, oldest first, without gaps up to the head.
+    oldest_document : dict
         JSON document before the first patch of `recent`.
     """
 
     version: int = 0
     document: dict[str, typing.Any] = attrs.field(factory=dict)
     recent: tuple[PatchEntry, ...] = ()
-    kept_document: dict[str, typing.Any] = attrs.field(factory=dict)
+    oldest_document: dict[str, typing.Any] = attrs.field(factory=dict)
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -146,7 +146,7 @@
     manifest_key : str
         Key to write last.
     manifest : bytes
-        Its value, which names version, number of chunks and checksum.
+        Its value, with the version, number of chunks and checksum.
     """
 
     version: int
@@ -161,8 +161,8 @@
     Raises
     ------
     RefusedError
-        Reason ``config_invalid``; `details` has ``path``, and ``value``,
-        ``allowed`` or ``nearest`` as they apply.
+        Reason ``config_invalid``; `details` has ``path`` and, where they
+        apply, ``value``, ``allowed`` and ``nearest``.
     """
     try:
         cell = _structure.structure_strictly(_document.CellConfig, document)
@@ -176,11 +176,11 @@
                     raise _structure.FieldError(
                         path=(group, name),
                         value=name,
-                        problem="has an unusable name",
-                        allowed=_NAME_WORDS,
+                        problem="has an invalid name",
+                        allowed=_NAME_DESCRIPTION,
                     )
     except _structure.FieldError as error:
-        raise _refuse_field(error) from error
+        raise _make_refusal(error) from error
     return cell
 
 
@@ -190,18 +190,18 @@
 
 
 def entry_prefix(version: int) -> str:
-    """Return a key prefix of `version` and up to 99 versions around it."""
+    """Return a key prefix shared by `version` and up to 99 neighbours."""
     digits = f"{version:0{VERSION_DIGITS}d}"
-    return f"{PATCH_KEY_PREFIX}{digits[:_RANGE_DIGITS]}"
+    return f"{PATCH_KEY_PREFIX}{digits[:_RANGE_PREFIX_DIGITS]}"
 
 
 def version_of_key(key: str) -> int:
-    """Return the version that a store key stands for.
+    """Return the version that a store key identifies.
 
     Raises
     ------
     ProtocolError
-        The key is not one of a patch.
+        The key is not that of a patch.
     """
     digits = key.removeprefix(PATCH_KEY_PREFIX)
     if (
@@ -211,13 +211,13 @@
     ):
         raise errors.ProtocolError(
             message=f"config: {key!r} is not the key of a patch.",
-            remedy="Find out who wrote it.",
+            remedy="Find out which program wrote it.",
         )
     return int(digits)
 
 
 def encode_entry(entry: PatchEntry) -> bytes:
-    """Return the stored value of a patch."""
+    """Return the encoded form of a patch, as the store keeps it."""
     return _encode_json(
         {
             "write_id": entry.write_id,
@@ -229,7 +229,7 @@
 
 
 def decode_entry(version: int, value: bytes) -> PatchEntry:
-    """Return the patch of a stored value.
+    """Return the patch decoded from a stored value.
 
     Raises
     ------
@@ -247,9 +247,9 @@
             size_bytes=len(value),
         )
     except (ValueError, TypeError, KeyError, RecursionError) as error:
-        raise _unreadable(f"patch {version}") from error
+        raise _make_decode_error(f"patch {version}") from error
     if not isinstance(entry.patch, dict):
-        raise _unreadable(f"patch {version}")
+        raise _make_decode_error(f"patch {version}")
     return entry
 
 
@@ -273,12 +273,14 @@
             f"version {entry.version} does not follow {history.version}"
         )
     recent = (*history.recent, entry)
-    kept_document = history.kept_document
+    oldest_document = history.oldest_document
     size_bytes = sum(kept.size_bytes for kept in recent)
     dropped = 0
-    while len(recent) - dropped > KEPT_PATCHES or size_bytes > KEPT_BYTES:
-        kept_document = _patches.apply_patch(
-            kept_document, recent[dropped].patch
+    while (
+        len(recent) - dropped > MAX_KEPT_PATCHES or size_bytes > MAX_KEPT_BYTES
+    ):
+        oldest_document = _patches.apply_patch(
+            oldest_document, recent[dropped].patch
         )
         size_bytes -= recent[dropped].size_bytes
         dropped += 1
@@ -286,18 +288,18 @@
         version=entry.version,
         document=_patches.apply_patch(history.document, entry.patch),
         recent=recent[dropped:],
-        kept_document=kept_document,
+        oldest_document=oldest_document,
     )
 
 
 def adopt_snapshot(history: History, snapshot: Snapshot) -> History:
-    """Return the history of a snapshot, or `history` if it is as new."""
+    """Return the history of a snapshot, or `history` unless that is older."""
     if snapshot.version <= history.version:
         return history
     return History(
         version=snapshot.version,
         document=snapshot.document,
-        kept_document=snapshot.document,
+        oldest_document=snapshot.document,
     )
 
 
@@ -314,8 +316,8 @@
     Returns
     -------
     tuple of PatchEntry or None
-        Oldest first; None if they are not all kept, so that only a snapshot
-        helps.
+        Oldest first; None if some are no longer kept, so that a snapshot is
+        needed.
     """
     if version < oldest_version(history):
         return None
@@ -323,7 +325,7 @@
 
 
 def find_entry(history: History, version: int) -> PatchEntry | None:
-    """Return the patch that made a version; None if it is not kept."""
+    """Return the patch that created a version; None if it is not kept."""
     index = version - oldest_version(history) - 1
     return history.recent[index] if 0 <= index < len(history.recent) else None
 
@@ -344,7 +346,7 @@
         Reason ``unknown_version``.
     """
     _require_known_version(history, version)
-    document = history.kept_document
+    document = history.oldest_document
     for entry in history.recent[: version - oldest_version(history)]:
         document = _patches.apply_patch(document, entry.patch)
     return document
@@ -358,28 +360,29 @@
     author: str,
     write_id: str,
 ) -> PlannedWrite:
-    """Return the write that makes a submitted patch the next version.
+    """Return the write that stores a submitted patch as the next version.
 
     Parameters
     ----------
     history : History
-        What is known of the versions.
+        The known versions.
     base : int
         Version that the author had read.
     patch : object
         JSON merge patch.
     author : str
-        Who submitted it.
+        Name of the submitter.
     write_id : str
-        Id of the write, unique for each submitted patch.
+        Id of the write, unique to the submission.
 
     Raises
     ------
     RefusedError
-        ``config_invalid`` if the patch is no usable object or the patched
-        document is not valid, ``too_large``, ``unknown_version`` if the base
-        is above the head or older than the kept history, or
-        ``config_conflict``, whose `details` name the colliding paths.
+        ``config_invalid`` if the patch is not a usable object or the patched
+        document is not valid, ``invalid_value`` if the base is not a whole
+        number, ``too_large``, ``unknown_version`` if the base is above the
+        head or older than the kept history, or ``config_conflict``, whose
+        `details` list the colliding paths.
     """
     _check_patch(patch)
     if type(base) is not int:
@@ -416,7 +419,7 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> EncodedSnapshot:
-    """Return the stored form of a snapshot, in chunks below 512 KB."""
+    """Return the stored form of a snapshot, in chunks of less than 512 KB."""
     body = _encode_json(snapshot.document)
     pieces = [
         body[start : start + SNAPSHOT_CHUNK_BYTES]
@@ -464,24 +467,24 @@
         found = json.loads(manifest)
         version, chunks = int(found["version"]), int(found["chunks"])
     except (ValueError, TypeError, KeyError) as error:
-        raise _unreadable("the snapshot's manifest") from error
+        raise _make_decode_error("the snapshot's manifest") from error
     return version, snapshot_chunk_keys(version, chunks)
 
 
 def decode_snapshot(
     manifest: bytes, chunks: collections.abc.Iterable[bytes]
 ) -> Snapshot:
-    """Return a stored snapshot.
+    """Return the snapshot decoded from its manifest and chunks.
 
     Raises
     ------
     ProtocolError
-        The chunks are not those of the manifest.
+        The chunks do not match the manifest.
     """
     version, _ = decode_manifest(manifest)
     body = b"".join(chunks)
     if json.loads(manifest).get("checksum") != xxhash.xxh3_64_hexdigest(body):
-        raise _unreadable(f"snapshot {version}")
+        raise _make_decode_error(f"snapshot {version}")
     return Snapshot(version=version, document=json.loads(body))
 
 
@@ -491,14 +494,14 @@
     ).encode()
 
 
-def _unreadable(what: str) -> errors.ProtocolError:
+def _make_decode_error(what: str) -> errors.ProtocolError:
     return errors.ProtocolError(
         message=f"config: {what} cannot be decoded.",
-        remedy="Find out who wrote it.",
+        remedy="Find out which program wrote it.",
     )
 
 
-def _refuse_field(error: _structure.FieldError) -> errors.RefusedError:
+def _make_refusal(error: _structure.FieldError) -> errors.RefusedError:
     path = _patches.format_path(error.path) or "the document"
     details: dict[str, object] = {"path": path, "value": error.value}
     if error.allowed:
@@ -525,7 +528,7 @@
         problem = "The patch is not a JSON object."
     elif not patch:
         problem = "The patch changes nothing."
-    elif _patches.depth_of(patch, MAX_PATCH_DEPTH) > MAX_PATCH_DEPTH:
+    elif _patches.nesting_depth(patch, MAX_PATCH_DEPTH) > MAX_PATCH_DEPTH:
         problem = f"The patch is nested deeper than {MAX_PATCH_DEPTH} levels."
     if problem:
         raise errors.RefusedError(
@@ -542,7 +545,7 @@
     raise errors.RefusedError(
         reason=errors.Reason.UNKNOWN_VERSION,
         message=(
-            f"Version {version} is not known; known are {oldest} to"
+            f"Version {version} is not known; known versions are {oldest} to"
             f" {history.version}."
         ),
         remedy="Read the current version and use it.",
@@ -591,8 +594,8 @@
 ) -> None:
     """Refuse a change of the number of shards or pools.
 
-    The number decides which shard remembers a request id or a job id. After
-    a change an id could run once more at another shard.
+    The number determines which shard records a request id or a job id. After
+    a change, an id could run a second time in another shard.
     """
     if history.version == 0:
         return
--- a/chestnuttide/config/_messages.py
+++ b/chestnuttide/config/_messages.py
@@ -1,4 +1,4 @@
-"""Messages into and out of the configuration filter."""
+"""Input and output messages of the configuration filter."""
 
 import attrs
 
@@ -9,20 +9,20 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SubmitPatch:
-    """In: an operator submits a patch.
+    """Input: an operator submits a patch.
 
     Attributes
     ----------
     token : str
-        Names the call in the answer.
+        Identifies the submission in the result.
     base : int
         Version that the operator had read.
     patch : object
         JSON merge patch.
     author : str
-        Who submits it.
+        Name of the submitter.
     write_id : str
-        Id for the write, unique for each submission.
+        Id of the write, unique to the submission.
     """
 
     token: str
@@ -34,14 +34,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WriteSucceeded:
-    """In: the store created the key for us.
+    """Input: the store created the key.
 
     Attributes
     ----------
     key : str
         The key.
     write_id : str
-        Id of our write.
+        Id of the write.
     """
 
     key: str
@@ -50,14 +50,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WriteConflict:
-    """In: the key existed already.
+    """Input: the store refused a write because the key already existed.
 
     Attributes
     ----------
     key : str
         The key.
     write_id : str
-        Id of our write.
+        Id of the write.
     """
 
     key: str
@@ -66,14 +66,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WriteUnanswered:
-    """In: the store did not answer; the write may have taken effect.
+    """Input: the store did not answer; the write may have taken effect.
 
     Attributes
     ----------
     key : str
         The key.
     write_id : str
-        Id of our write.
+        Id of the write.
     """
 
     key: str
@@ -82,7 +82,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ReadBack:
-    """In: the store answered a read.
+    """Input: the store answered a read.
 
     Attributes
     ----------
@@ -98,7 +98,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ReadUnanswered:
-    """In: the store did not answer a read.
+    """Input: the store did not answer a read.
 
     Attributes
     ----------
@@ -111,15 +111,15 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PatchesReceived:
-    """In: accepted patches came from a peer or from the store.
+    """Input: accepted patches arrived from a peer or the store.
 
     Attributes
     ----------
     entries : tuple of PatchEntry
         The patches.
     from_store : bool
-        Whether a watch or a range of the store gave them; those are
-        broadcast to the peers, which hold no watch.
+        Whether they come from a watch or range read of the store; those are
+        broadcast to the peers, which have no watch.
     """
 
     entries: tuple[_history.PatchEntry, ...]
@@ -128,7 +128,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SnapshotReceived:
-    """In: a whole document came from a peer or from the store.
+    """Input: a whole document arrived from a peer or the store.
 
     Attributes
     ----------
@@ -141,7 +141,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class VersionSeen:
-    """In: a peer's heartbeat names its version.
+    """Input: a peer's heartbeat reported its version.
 
     Attributes
     ----------
@@ -154,12 +154,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Tick:
-    """In: time has passed."""
+    """Input: time has passed."""
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class ReadKey:
-    """Out: read a key and feed `ReadBack` or `ReadUnanswered`.
+    """Output: read a key and feed `ReadBack` or `ReadUnanswered`.
 
     Attributes
     ----------
@@ -172,7 +172,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WritePatch:
-    """Out: create a key that must be absent, and feed the result.
+    """Output: create a key that must be absent and feed the result.
 
     Attributes
     ----------
@@ -181,7 +181,7 @@
     value : bytes
         The value.
     write_id : str
-        Id for the write.
+        Id of the write.
     """
 
     key: str
@@ -191,7 +191,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PatchAccepted:
-    """Out: a submitted patch has become a version.
+    """Output: a submitted patch has become a version.
 
     Attributes
     ----------
@@ -207,15 +207,15 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PatchRefused:
-    """Out: a submitted patch is refused.
+    """Output: a submitted patch is refused.
 
     Attributes
     ----------
     token : str
         Token of the submission.
     error : RefusedError
-        The refusal. The patch never takes effect if its `run_state` is
-        ``not_run``. With ``unknown`` the store left open whether it did.
+        The refusal. If its `run_state` is ``not_run``, the patch never takes
+        effect; if it is ``unknown``, the patch may have taken effect.
     """
 
     token: str
@@ -224,7 +224,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ConfigAdopted:
-    """Out: a newer version is in force.
+    """Output: a newer version is in force.
 
     Attributes
     ----------
@@ -240,9 +240,9 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ConfigUnreadable:
-    """Out: a version exists but this program cannot use it.
+    """Output: a version exists but this release cannot use it.
 
-    A newer program may have written fields that this one does not know. The
+    A newer release may have written fields that this one does not know. The
     last usable version stays in force.
 
     Attributes
@@ -250,7 +250,7 @@
     version : int
         The version.
     error : SchedulerError
-        What is wrong.
+        Reason why it cannot be used.
     """
 
     version: int
@@ -259,12 +259,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class FetchMissing:
-    """Out: ask a peer, or else the store, for later patches or a snapshot.
+    """Output: ask a peer, or else the store, for later patches or a snapshot.
 
     Attributes
     ----------
     after_version : int
-        Our head.
+        Head of this instance.
     """
 
     after_version: int
@@ -272,7 +272,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Broadcast:
-    """Out: send accepted patches to all peers.
+    """Output: send accepted patches to all peers.
 
     Attributes
     ----------
@@ -285,10 +285,10 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WriteSnapshot:
-    """Out: store a snapshot unless the stored one is newer.
+    """Output: store a snapshot unless the stored one is newer.
 
     Write the chunks, then the manifest by compare-and-swap against the
-    revision that named an older version, then delete the keys below
+    revision that held an older version, then delete the keys that start with
     `obsolete_prefix`.
 
     Attributes
--- a/chestnuttide/config/_patches.py
+++ b/chestnuttide/config/_patches.py
@@ -44,7 +44,8 @@
     -------
     tuple of tuple of str
         The path of each value that is not an object, and of each empty
-        object, because it creates what it names. Empty for an empty patch.
+        object, because an empty object creates its path. Empty for an empty
+        patch.
     """
     paths: list[Path] = []
     waiting: list[tuple[Path, object]] = [
@@ -83,14 +84,14 @@
 
 
 def format_path(path: Path) -> str:
-    """Return a path as people write it, for example ``teams.mill.weight``."""
+    """Return a path in dotted form, for example ``teams.mill.weight``."""
     return ".".join(path)
 
 
-def depth_of(value: object, limit: int) -> int:
+def nesting_depth(value: object, limit: int) -> int:
     """Return the nesting depth of a JSON value, at most `limit` + 1.
 
-    It does not recurse, so that it can guard functions that do.
+    It does not recurse, so it can be used to protect functions that do.
     """
     depth = 0
     level = [value]
--- a/chestnuttide/config/_structure.py
+++ b/chestnuttide/config/_structure.py
@@ -1,8 +1,8 @@
 """Strict structuring of JSON values into attrs classes.
 
-The settings files and the configuration document share it. cattrs alone
-would turn ``"5"`` into 5 and ``1.5`` into 1, and its error for a failed
-validator does not name the field.
+Settings files and the configuration document both use it. By default, cattrs
+turns ``"5"`` into 5 and ``1.5`` into 1, and its error for a failed validator
+does not name the field.
 """
 
 import collections.abc
@@ -13,7 +13,7 @@
 import attrs
 import cattrs
 
-_TYPE_WORDS: typing.Final[dict[type, str]] = {
+_TYPE_DESCRIPTIONS: typing.Final[dict[type, str]] = {
     int: "a whole number",
     float: "a number",
     bool: "true or false",
@@ -21,8 +21,8 @@
     dict: "an object",
 }
 
-# Largest whole number that every JSON implementation keeps exactly. The check
-# also refuses NaN and infinities, which JSON cannot carry.
+# Largest whole number that every JSON implementation represents exactly. The
+# check also rejects NaN and infinities, which JSON cannot represent.
 _MAX_NUMBER: typing.Final = 2**53 - 1
 
 
@@ -34,14 +34,14 @@
     path : tuple of str
         Names of the fields from the root of the document to the value.
     value : object
-        The value that was found; None for a missing one.
+        The value; None if it is missing.
     problem : str
-        What is wrong, as a predicate of the field, for example ``is not
-        known``.
+        Description of the error that reads on from the name of the field,
+        for example ``is missing``.
     allowed : str
-        The values that are allowed; empty for an unknown field.
+        Description of the allowed values; empty for an unknown field.
     nearest : str
-        Nearest known name of an unknown field; empty if none is near.
+        Known field name closest to an unknown one; empty if none is close.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
 
 
 def describe_allowed(attribute: attrs.Attribute) -> str:
-    """Return the allowed values of a field in words.
+    """Return a description of the allowed values of a field.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
         For example ``a whole number >= 1 and <= 64``.
     """
     kind = typing.get_origin(attribute.type) or attribute.type
-    words = _TYPE_WORDS.get(kind, "an object")
+    words = _TYPE_DESCRIPTIONS.get(kind, "an object")
     limits = _describe_validator(attribute.validator)
     return f"{words} {limits}" if limits else words
 
@@ -85,18 +85,18 @@
 ) -> typing.Any:
     """Build an attrs class from a JSON value without any coercion.
 
-    A whole number is accepted for a float field; every other difference of
-    types is an error.
+    A whole number is accepted for a float field; any other mismatch of types
+    is an error.
 
     Parameters
     ----------
     cls : type
-        The attrs class; its fields are int, float, bool, str, other attrs
-        classes, or dicts of str to one of them.
+        The attrs class; the types of its fields are int, float, bool, str,
+        other attrs classes, or dicts of str to one of these.
     document : object
         The JSON value.
     path : tuple of str
-        Path of `document`, for errors.
+        Path of `document`, for error messages.
 
     Raises
     ------
@@ -109,7 +109,7 @@
 
 
 def _describe_validator(validator: object) -> str:
-    """Return the limits that an attrs validator sets, in words."""
+    """Return a description of the limits set by an attrs validator."""
     if validator is None:
         return ""
     parts = getattr(validator, "_validators", None)
@@ -128,30 +128,30 @@
     return getattr(validator, "allowed", "")
 
 
-def _nearest(name: str, known: collections.abc.Iterable[str]) -> str:
+def _find_nearest(name: str, known: collections.abc.Iterable[str]) -> str:
     matches = difflib.get_close_matches(name, list(known), n=1, cutoff=0.5)
     return matches[0] if matches else ""
 
 
 @functools.cache
 def _shared_converter() -> tuple[list[str], cattrs.Converter]:
-    """Return the converter and the path at which it works.
+    """Return the shared converter and its list for the current path.
 
-    A converter takes a millisecond to make, so there is one. The path is a
-    list that the hooks change, because cattrs passes them none. Structuring
-    never awaits, so no two documents use it at the same time.
+    Creating a converter takes a millisecond, so all calls share one. Its hooks
+    update the path in place because cattrs does not pass them one. Structuring
+    never awaits, so two documents never use the converter at the same time.
     """
     path: list[str] = []
     return path, _make_converter(path)
 
 
 def _make_converter(path: list[str]) -> cattrs.Converter:
-    """Return a converter whose errors carry the path of the value.
+    """Return a converter whose errors include the path of the value.
 
     Parameters
     ----------
     path : list of str
-        Path of the root; changes while the converter descends.
+        Path of the root; the hooks update it while they descend.
     """
 
     def fail(problem: str, value: object, **more: str) -> FieldError:
@@ -161,14 +161,20 @@
 
     def require_object(value: object) -> None:
         if not isinstance(value, dict):
-            raise fail("has the wrong type", value, allowed=_TYPE_WORDS[dict])
+            raise fail(
+                "has the wrong type", value, allowed=_TYPE_DESCRIPTIONS[dict]
+            )
 
     def structure_scalar(value: object, kind: type) -> object:
         is_whole = type(value) is int
         if type(value) is not kind and not (kind is float and is_whole):
-            raise fail("has the wrong type", value, allowed=_TYPE_WORDS[kind])
+            raise fail(
+                "has the wrong type", value, allowed=_TYPE_DESCRIPTIONS[kind]
+            )
         if kind in (int, float) and not abs(value) <= _MAX_NUMBER:
-            raise fail("is out of range", value, allowed=_TYPE_WORDS[kind])
+            raise fail(
+                "is out of range", value, allowed=_TYPE_DESCRIPTIONS[kind]
+            )
         return float(value) if kind is float else value
 
     def structure_mapping(value: object, kind: object) -> dict[str, object]:
@@ -187,7 +193,7 @@
         try:
             item = converter.structure(value, attribute.type)
         except FieldError as error:
-            # The limits of the field say more than its bare type.
+            # The field's limits are more specific than its type alone.
             if error.path == field_path and error.allowed:
                 error.allowed = allowed
             raise
@@ -209,7 +215,7 @@
                 raise fail(
                     "is not a known field",
                     value[name],
-                    nearest=_nearest(name, fields),
+                    nearest=_find_nearest(name, fields),
                 )
         found = {}
         for name, attribute in fields.items():
--- a/chestnuttide/config/tests/test_filter.py
+++ b/chestnuttide/config/tests/test_filter.py
@@ -32,7 +32,7 @@
     )
 
 
-def _kinds(messages: list[object]) -> list[str]:
+def _type_names(messages: list[object]) -> list[str]:
     return [type(message).__name__ for message in messages]
 
 
@@ -44,7 +44,7 @@
 _ACCEPTED = ["ConfigAdopted", "PatchAccepted", "Broadcast"]
 
 
-# Each step is an input, its time, and the kinds of the expected outputs.
+# Each step has an input, its time and the types of the expected outputs.
 @pytest.mark.parametrize(
     "steps",
     [
@@ -75,7 +75,7 @@
                 (_CONFLICT, 1.2, ["ReadKey"]),
                 (config.ReadBack(key=_KEY, value=_MINE), 1.2, _ACCEPTED),
             ],
-            id="own_delayed_write_taken_for_another_one",
+            id="own_delayed_write_not_recognised",
         ),
         pytest.param(
             [
@@ -84,7 +84,7 @@
                 (config.Tick(), 1.2, ["ReadKey"]),
                 (config.ReadBack(key=_KEY, value=_MINE), 1.3, _ACCEPTED),
             ],
-            id="lost_read_ends_the_attempt",
+            id="lost_read_not_retried",
         ),
         pytest.param(
             [
@@ -114,7 +114,7 @@
                     ["ConfigAdopted", "PatchRefused"],
                 ),
             ],
-            id="race_on_one_path_loses_an_update",
+            id="race_on_one_path_loses_update",
         ),
         pytest.param(
             [
@@ -155,7 +155,7 @@
                 (config.Tick(), 11, ["PatchRefused"]),
                 (config.ReadBack(key=_KEY, value=_MINE), 12, _ACCEPTED[:1]),
             ],
-            id="unanswered_patch_blocks_for_ever",
+            id="unanswered_patch_never_refused",
         ),
         pytest.param(
             [
@@ -175,36 +175,36 @@
         ),
     ],
 )
-def test_one_patch(steps: list) -> None:
-    step = config.make_config_filter()
-    first = step(_submit("x", **_team("mill", 2)), 0.5)
-    assert _kinds(first) == ["WritePatch"]
+def test_submission_of_one_patch(steps: list) -> None:
+    run = config.make_config_filter()
+    first = run(_submit("x", **_team("mill", 2)), 0.5)
+    assert _type_names(first) == ["WritePatch"]
     for message, now, expected in steps:
-        assert _kinds(step(message, now)) == expected
+        assert _type_names(run(message, now)) == expected
 
 
-def test_patches_wait_in_order() -> None:
-    step = config.make_config_filter()
-    step(_submit("x", **_team("mill", 2)), 0.0)
-    assert step(_submit("y", **_team("loom", 2)), 0.0) == []
-    assert step(_submit("z", **_team("mill", 3)), 0.0) == []
-    out = step(config.WriteSucceeded(key=_KEY, write_id="w-x"), 0.1)
-    assert _kinds(out) == [*_ACCEPTED, "WritePatch"]
+def test_waiting_patches_are_written_in_order() -> None:
+    run = config.make_config_filter()
+    run(_submit("x", **_team("mill", 2)), 0.0)
+    assert run(_submit("y", **_team("loom", 2)), 0.0) == []
+    assert run(_submit("z", **_team("mill", 3)), 0.0) == []
+    out = run(config.WriteSucceeded(key=_KEY, write_id="w-x"), 0.1)
+    assert _type_names(out) == [*_ACCEPTED, "WritePatch"]
     assert out[-1].write_id == "w-y"
     assert out[-1].key == config.entry_key(2)
-    out = step(
+    out = run(
         config.WriteSucceeded(key=config.entry_key(2), write_id="w-y"), 0.2
     )
-    assert _kinds(out) == [*_ACCEPTED, "PatchRefused"]
+    assert _type_names(out) == [*_ACCEPTED, "PatchRefused"]
     assert out[-1].error.reason is errors.Reason.CONFIG_CONFLICT
 
 
-def test_refusal_says_not_run_only_if_nothing_was_written() -> None:
-    step = config.make_config_filter()
-    step(_submit("x", **_team("mill", 2)), 0.0)
-    step(_submit("y", **_team("loom", 2)), 0.0)
-    step(_WRITE_LOST, 1.0)
-    refused = step(config.Tick(), 10.0)
+def test_refusal_is_not_run_only_if_nothing_was_written() -> None:
+    run = config.make_config_filter()
+    run(_submit("x", **_team("mill", 2)), 0.0)
+    run(_submit("y", **_team("loom", 2)), 0.0)
+    run(_WRITE_LOST, 1.0)
+    refused = run(config.Tick(), 10.0)
     assert [(out.token, out.error.run_state) for out in refused] == [
         ("x", errors.RunState.UNKNOWN),
         ("y", errors.RunState.NOT_RUN),
@@ -217,57 +217,57 @@
         pytest.param(
             _THEIRS,
             ["ConfigAdopted", "WritePatch"],
-            id="instance_behind_refuses_known_version",
+            id="lagging_instance_refuses_existing_base",
         ),
-        pytest.param(None, ["PatchRefused"], id="invented_base_accepted"),
+        pytest.param(None, ["PatchRefused"], id="nonexistent_base_accepted"),
     ],
 )
 def test_base_above_head_is_read_from_the_store(
     value: bytes | None, expected: list[str]
 ) -> None:
-    step = config.make_config_filter()
-    out = step(_submit("x", base=1, **_team("loom", 9)), 0.0)
-    assert _kinds(out) == ["ReadKey"]
-    out = step(config.ReadBack(key=_KEY, value=value), 0.1)
-    assert _kinds(out) == expected
+    run = config.make_config_filter()
+    out = run(_submit("x", base=1, **_team("loom", 9)), 0.0)
+    assert _type_names(out) == ["ReadKey"]
+    out = run(config.ReadBack(key=_KEY, value=value), 0.1)
+    assert _type_names(out) == expected
 
 
-def test_gap_is_reported_and_filled() -> None:
-    step = config.make_config_filter()
+def test_gap_is_fetched_and_filled() -> None:
+    run = config.make_config_filter()
     entries = [_entry(n, f"w{n}", _team("mill", n)) for n in (1, 2, 3)]
-    out = step(config.PatchesReceived(entries=(entries[2],)), 1.0)
+    out = run(config.PatchesReceived(entries=(entries[2],)), 1.0)
     assert out == [config.FetchMissing(after_version=0)]
-    assert step(config.VersionSeen(version=3), 1.5) == []
-    assert _kinds(step(config.Tick(), 2.1)) == ["FetchMissing"]
-    out = step(
+    assert run(config.VersionSeen(version=3), 1.5) == []
+    assert _type_names(run(config.Tick(), 2.1)) == ["FetchMissing"]
+    out = run(
         config.PatchesReceived(entries=tuple(entries[:2]), from_store=True),
         2.2,
     )
-    assert _kinds(out) == ["ConfigAdopted", "Broadcast"]
+    assert _type_names(out) == ["ConfigAdopted", "Broadcast"]
     assert (out[0].version, out[0].cell_config.teams["mill"].weight) == (3, 3)
-    assert step(config.PatchesReceived(entries=(entries[0],)), 2.3) == []
+    assert run(config.PatchesReceived(entries=(entries[0],)), 2.3) == []
     old = config.Snapshot(version=2, document={})
-    assert step(config.SnapshotReceived(snapshot=old), 2.4) == []
+    assert run(config.SnapshotReceived(snapshot=old), 2.4) == []
 
 
 def test_unreadable_version_keeps_last_config_in_force() -> None:
     state = config.ConfigState()
-    step = config.make_config_filter(state=state)
+    run = config.make_config_filter(state=state)
     good = _entry(1, "w1", _team("mill", 2))
     new_field = _entry(2, "w2", {"teams": {"mill": {"colour": "red"}}})
-    step(config.PatchesReceived(entries=(good,)), 0.0)
-    out = step(config.PatchesReceived(entries=(new_field,)), 0.0)
-    assert _kinds(out) == ["ConfigUnreadable"]
+    run(config.PatchesReceived(entries=(good,)), 0.0)
+    out = run(config.PatchesReceived(entries=(new_field,)), 0.0)
+    assert _type_names(out) == ["ConfigUnreadable"]
     assert state.history.version == 2
     assert state.cell_config.teams["mill"].weight == 2
 
 
 def test_snapshot_every_64_versions() -> None:
-    step = config.make_config_filter()
+    run = config.make_config_filter()
     written = []
     for version in range(1, 193):
-        step(_submit(str(version), version - 1, **_team("m", version)), 0.0)
-        out = step(
+        run(_submit(str(version), version - 1, **_team("m", version)), 0.0)
+        out = run(
             config.WriteSucceeded(
                 key=config.entry_key(version), write_id=f"w-{version}"
             ),
@@ -283,19 +283,19 @@
 
 
 def test_too_many_waiting_patches_are_refused() -> None:
-    step = config.make_config_filter()
+    run = config.make_config_filter()
     out: list[object] = []
     for number in range(258):
-        out = step(_submit(str(number), **_team("m", 1)), 0.0)
-    assert _kinds(out) == ["PatchRefused"]
+        out = run(_submit(str(number), **_team("m", 1)), 0.0)
+    assert _type_names(out) == ["PatchRefused"]
     assert out[0].error.reason is errors.Reason.QUEUE_FULL
 
 
 @attrs.define(kw_only=True)
-class _Cell:
-    """Instances that race over one store; `calls` are under way."""
+class _SimulatedCell:
+    """Simulated instances that share a store; `calls` are in progress."""
 
-    chance: random.Random
+    rng: random.Random
     faulty: bool = True
     store: dict[str, bytes] = attrs.field(factory=dict)
     states: list[config.ConfigState] = attrs.field(factory=list)
@@ -308,7 +308,7 @@
     now: float = 0.0
 
 
-def _start(cell: _Cell, index: int) -> None:
+def _start(cell: _SimulatedCell, index: int) -> None:
     state = config.ConfigState()
     made = config.make_config_filter(state=state)
     if index == len(cell.states):
@@ -322,7 +322,7 @@
         cell.calls = [call for call in cell.calls if call[0] != index]
 
 
-def _feed(cell: _Cell, index: int, message: object) -> None:
+def _feed(cell: _SimulatedCell, index: int, message: object) -> None:
     for out in cell.filters[index](message, cell.now):
         if isinstance(out, config.PatchAccepted):
             assert out.token not in cell.accepted
@@ -338,19 +338,19 @@
             cell.calls.append((index, out))
 
 
-def _create(cell: _Cell, call: config.WritePatch) -> bool:
+def _create(cell: _SimulatedCell, call: config.WritePatch) -> bool:
     if call.key in cell.store:
         return False
     cell.store[call.key] = call.value
     return True
 
 
-def _carry_out_write(
-    cell: _Cell, index: int, call: config.WritePatch, fault: float
+def _execute_write(
+    cell: _SimulatedCell, index: int, call: config.WritePatch, fault: float
 ) -> None:
     names = {"key": call.key, "write_id": call.write_id}
     if fault < 0.15:
-        # The answer is lost, and the write takes effect now, later or never.
+        # The answer is lost; the write takes effect now, later or never.
         if fault < 0.05:
             _create(cell, call)
         elif fault < 0.1:
@@ -362,11 +362,11 @@
         _feed(cell, index, config.WriteConflict(**names))
 
 
-def _carry_out_call(cell: _Cell) -> None:
-    index, call = cell.calls.pop(cell.chance.randrange(len(cell.calls)))
-    fault = cell.chance.random() if cell.faulty else 1.0
+def _execute_call(cell: _SimulatedCell) -> None:
+    index, call = cell.calls.pop(cell.rng.randrange(len(cell.calls)))
+    fault = cell.rng.random() if cell.faulty else 1.0
     if isinstance(call, config.WritePatch):
-        _carry_out_write(cell, index, call, fault)
+        _execute_write(cell, index, call, fault)
     elif isinstance(call, config.ReadKey):
         if fault < 0.15:
             _feed(cell, index, config.ReadUnanswered(key=call.key))
@@ -379,10 +379,10 @@
                 received = config.PatchesReceived(entries=call.entries)
                 _feed(cell, peer, received)
     elif isinstance(call, config.FetchMissing) and fault >= 0.3:
-        peer = cell.chance.randrange(len(cell.states))
+        peer = cell.rng.randrange(len(cell.states))
         history = cell.states[peer].history
         entries = config.entries_after(history, call.after_version)
-        if entries is None or cell.chance.random() < 0.5:
+        if entries is None or cell.rng.random() < 0.5:
             snapshot = config.Snapshot(
                 version=history.version, document=history.document
             )
@@ -391,27 +391,27 @@
             _feed(cell, index, config.PatchesReceived(entries=entries))
 
 
-def _random_patch(cell: _Cell) -> dict:
-    team = cell.chance.choice("abcd")
-    return cell.chance.choice(
+def _random_patch(cell: _SimulatedCell) -> dict:
+    team = cell.rng.choice("abcd")
+    return cell.rng.choice(
         [
-            _team(team, cell.chance.randint(1, 9)),
-            {"teams": {team: {"cpu_millis": cell.chance.randint(0, 9)}}},
+            _team(team, cell.rng.randint(1, 9)),
+            {"teams": {team: {"cpu_millis": cell.rng.randint(0, 9)}}},
             {"teams": {team: None}},
             {"teams": {team: {"weight": -1}}},
-            {"pool": {"eject_failures": cell.chance.randint(1, 9)}},
+            {"pool": {"eject_failures": cell.rng.randint(1, 9)}},
         ]
     )
 
 
-def _take_step(cell: _Cell, submitted: int) -> int:
-    chance = cell.chance.random()
-    index = cell.chance.randrange(len(cell.filters))
-    cell.now += cell.chance.random() * 0.1
+def _run_random_step(cell: _SimulatedCell, submitted: int) -> int:
+    chance = cell.rng.random()
+    index = cell.rng.randrange(len(cell.filters))
+    cell.now += cell.rng.random() * 0.1
     if chance < 0.25:
-        # The author has read some instance, which may be ahead or behind.
-        head = cell.chance.choice(cell.states).history.version
-        base = max(0, head - cell.chance.randint(0, 2))
+        # The author has read from any instance, which may be ahead or behind.
+        head = cell.rng.choice(cell.states).history.version
+        base = max(0, head - cell.rng.randint(0, 2))
         _feed(
             cell,
             index,
@@ -419,29 +419,29 @@
         )
         return submitted + 1
     if chance < 0.35:
-        cell.now += cell.chance.choice([0.1, 0.1, 0.1, 4.0])
+        cell.now += cell.rng.choice([0.1, 0.1, 0.1, 4.0])
         _feed(cell, index, config.Tick())
     elif chance < 0.4 and cell.delayed:
         _create(cell, cell.delayed.pop())
     elif chance < 0.42:
         _start(cell, index)
     elif chance < 0.52:
-        peer = cell.chance.choice(cell.states).history.version
+        peer = cell.rng.choice(cell.states).history.version
         _feed(cell, index, config.VersionSeen(version=peer))
     elif cell.calls:
-        _carry_out_call(cell)
+        _execute_call(cell)
     return submitted
 
 
-def _drain(cell: _Cell) -> None:
-    """End all faults and run until every instance is as new as the store."""
+def _drain(cell: _SimulatedCell) -> None:
+    """Stop injecting faults and run until all instances have caught up."""
     cell.faulty = False
     for call in cell.delayed:
         _create(cell, call)
     for _ in range(200):
         cell.now += 2.5
         while cell.calls:
-            _carry_out_call(cell)
+            _execute_call(cell)
         entries = tuple(
             config.decode_entry(config.version_of_key(key), value)
             for key, value in sorted(cell.store.items())
@@ -455,7 +455,7 @@
             for state in cell.states
         ):
             return
-    raise AssertionError("the instances do not come to rest")
+    raise AssertionError("the instances do not converge")
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=500)
@@ -464,16 +464,16 @@
     steps=strategies.integers(20, 200),
     seed=strategies.integers(0, 2**32),
 )
-def test_racing_operators(operators: int, steps: int, seed: int) -> None:
-    # Guards against a lost, doubled or reverted version when operators race
-    # through different instances while answers get lost, writes take effect
-    # late and instances restart.
-    cell = _Cell(chance=random.Random(seed))
+def test_concurrent_operators(operators: int, steps: int, seed: int) -> None:
+    # Guards against lost, duplicate or reverted versions when operators submit
+    # patches concurrently through different instances while answers are lost,
+    # writes take effect late and instances restart.
+    cell = _SimulatedCell(rng=random.Random(seed))
     for index in range(operators):
         _start(cell, index)
     submitted = 0
     for _ in range(steps):
-        submitted = _take_step(cell, submitted)
+        submitted = _run_random_step(cell, submitted)
     _drain(cell)
 
     entries = [
@@ -504,8 +504,8 @@
         assert versions == sorted(set(versions))
 
 
-def test_patch_sent_again_through_another_instance_is_applied_once() -> None:
-    """Guards against a second version when an entry loses its scheduler."""
+def test_patch_resent_through_another_instance_is_applied_once() -> None:
+    """Guards against a duplicate version if an entry loses its scheduler."""
     run = config.make_config_filter()
     theirs = _entry(1, "w-x", _team("mill", 2))
     later = _entry(2, "w-z", _team("loom", 3))
--- a/chestnuttide/config/tests/test_history.py
+++ b/chestnuttide/config/tests/test_history.py
@@ -53,7 +53,7 @@
                 "value": 65,
                 "allowed": "a whole number >= 1 and <= 64",
             },
-            id="range_not_named",
+            id="allowed_range_not_reported",
         ),
         pytest.param(
             {"services": {"casting": {"shard": 4}}},
@@ -62,7 +62,7 @@
                 "value": 4,
                 "nearest": "services.casting.shards",
             },
-            id="nearest_field_not_named",
+            id="nearest_field_not_reported",
         ),
         pytest.param(
             {"team": {}},
@@ -77,12 +77,12 @@
         pytest.param(
             {"workload_classes": {"render": {"spread": 1}}},
             {"path": "workload_classes.render.spread", "value": 1},
-            id="1_taken_as_true",
+            id="1_accepted_as_true",
         ),
         pytest.param(
             {"teams": {"mill": {"weight": float("inf")}}},
             {"path": "teams.mill.weight", "value": float("inf")},
-            id="infinity_cannot_be_stored",
+            id="infinity_accepted",
         ),
         pytest.param(
             {"teams": {"mill": {"weight": 10**400}}},
@@ -90,7 +90,9 @@
             id="huge_number_overflows",
         ),
         pytest.param(
-            {"teams": []}, {"path": "teams", "value": []}, id="list_as_group"
+            {"teams": []},
+            {"path": "teams", "value": []},
+            id="list_accepted_as_group",
         ),
     ],
 )
@@ -117,34 +119,34 @@
             {"teams": {"t1": None, "t2": None}},
             errors.Reason.CONFIG_CONFLICT,
             {"paths": ["teams.t1", "teams.t2"], "versions": [2, 3]},
-            id="removal_of_changed_team",
+            id="changed_team_removed",
         ),
         pytest.param(
             4,
             {"teams": {}},
             errors.Reason.UNKNOWN_VERSION,
             {"version": 4, "head": 3},
-            id="base_above_head",
+            id="base_above_head_accepted",
         ),
         pytest.param(
             -1,
             {"teams": {}},
             errors.Reason.UNKNOWN_VERSION,
             {"oldest": 0},
-            id="negative_base",
+            id="negative_base_accepted",
         ),
         pytest.param(
             "3",
             {"teams": {}},
             errors.Reason.INVALID_VALUE,
             {},
-            id="base_as_string",
+            id="string_base_accepted",
         ),
         pytest.param(
-            3, [], errors.Reason.CONFIG_INVALID, {}, id="patch_not_an_object"
+            3, [], errors.Reason.CONFIG_INVALID, {}, id="list_patch_accepted"
         ),
         pytest.param(
-            3, {}, errors.Reason.CONFIG_INVALID, {}, id="patch_changes_nothing"
+            3, {}, errors.Reason.CONFIG_INVALID, {}, id="empty_patch_accepted"
         ),
         pytest.param(
             3,
@@ -158,7 +160,7 @@
             {"services": {"s": {"status_path": "x" * 300_000}}},
             errors.Reason.TOO_LARGE,
             {"limit_bytes": 262_144},
-            id="patch_too_large_for_store",
+            id="patch_exceeds_store_limit",
         ),
     ],
 )
@@ -180,7 +182,7 @@
         _plan(config.History(), 0, patch)
 
 
-def test_plan_rebases_patch_that_does_not_collide() -> None:
+def test_plan_rebases_patch_without_collision() -> None:
     history = _history(*_teams(3))
     planned = _plan(history, 0, {"teams": {"t9": {"weight": 2}}})
     assert planned.key == "config/patch/000000000004"
@@ -198,14 +200,14 @@
         pytest.param(5, id="gap_ignored"),
     ],
 )
-def test_adopt_takes_only_the_next_version(version: int) -> None:
+def test_adopt_accepts_only_the_next_version(version: int) -> None:
     history = _history(*_teams(3))
     entry = attrs.evolve(history.recent[0], version=version)
     with pytest.raises(ValueError, match="does not follow 3"):
         config.adopt(history, entry)
 
 
-def test_old_patches_are_dropped_but_not_the_document() -> None:
+def test_dropping_old_patches_keeps_the_document() -> None:
     history = _history(*_teams(1_030))
     assert config.oldest_version(history) == 6
     assert len(history.document["teams"]) == 1_030
@@ -224,7 +226,7 @@
 @pytest.mark.parametrize(
     "teams",
     [
-        pytest.param(1, id="one_chunk"),
+        pytest.param(1, id="one_chunk_not_decoded"),
         pytest.param(60_000, id="chunk_above_512_kb"),
     ],
 )
@@ -247,12 +249,12 @@
 @pytest.mark.parametrize(
     "value",
     [
-        pytest.param(b"{", id="no_json"),
-        pytest.param(b"[]", id="no_object"),
-        pytest.param(b'{"write_id": "w"}', id="fields_missing"),
+        pytest.param(b"{", id="invalid_json_accepted"),
+        pytest.param(b"[]", id="list_accepted"),
+        pytest.param(b'{"write_id": "w"}', id="missing_fields_accepted"),
         pytest.param(
             b'{"write_id": "w", "base": 0, "patch": 1, "author": ""}',
-            id="patch_not_an_object",
+            id="number_patch_accepted",
         ),
     ],
 )
@@ -275,17 +277,17 @@
         pytest.param(
             {"services": {"layout": {"shards": 3}}},
             "services.layout.shards",
-            id="ids_of_requests_are_forgotten",
+            id="request_ids_lost",
         ),
         pytest.param(
             {"services": {"layout": {"shards": None}}},
             "services.layout.shards",
-            id="default_number_of_shards",
+            id="request_ids_lost_by_reset_to_default",
         ),
         pytest.param(
             {"pool": {"pools": 2}},
             "pool.pools",
-            id="ids_of_jobs_are_forgotten",
+            id="job_ids_lost",
         ),
     ],
 )
--- a/chestnuttide/config/tests/test_patches.py
+++ b/chestnuttide/config/tests/test_patches.py
@@ -16,7 +16,7 @@
 )
 
 
-# The examples of RFC 7396, appendix A.
+# Examples from RFC 7396, appendix A.
 @pytest.mark.parametrize(
     ("document", "patch", "expected"),
     [
@@ -61,13 +61,13 @@
 @pytest.mark.parametrize(
     ("patch", "expected"),
     [
-        pytest.param({}, (), id="empty_patch_has_a_path"),
+        pytest.param({}, (), id="empty_patch_has_path"),
         pytest.param(
             {"a": {"b": 1, "c": None}},
             (("a", "b"), ("a", "c")),
             id="removal_not_counted",
         ),
-        pytest.param({"a": {}}, (("a",),), id="creation_not_counted"),
+        pytest.param({"a": {}}, (("a",),), id="empty_object_not_counted"),
         pytest.param({"a": [1]}, (("a",),), id="list_descended_into"),
     ],
 )
@@ -97,8 +97,8 @@
 def test_patches_that_do_not_collide_commute(
     document: dict, first: dict, second: dict
 ) -> None:
-    # Guards the rebase: a patch may go after another one only if the result
-    # does not depend on their order.
+    # Guards against rebasing a patch after one that does not commute with it,
+    # which would make the result depend on their order.
     hypothesis.assume(
         not config.colliding_paths(
             config.changed_paths(first), config.changed_paths(second)
