--- a/chestnuttide/config/_history.py
+++ b/chestnuttide/config/_history.py
@@ -293,7 +293,7 @@
 
 
 def adopt_snapshot(history: History, snapshot: Snapshot) -> History:
-    """Return the history of a snapshot, or `history` unless that is older."""
+    """Return the history of a snapshot if it is newer, else `history`."""
     if snapshot.version <= history.version:
         return history
     return History(
--- a/chestnuttide/config/_messages.py
+++ b/chestnuttide/config/_messages.py
@@ -215,7 +215,7 @@
         Token of the submission.
     error : RefusedError
         The refusal. If its `run_state` is ``not_run``, the patch never takes
-        effect; if it is ``unknown``, the patch may have taken effect.
+        effect; if it is ``unknown``, the patch may take effect or not.
     """
 
     token: str
@@ -240,10 +240,10 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ConfigUnreadable:
-    """Output: a version exists but this release cannot use it.
+    """Output: a version exists but this program cannot use it.
 
-    A newer release may have written fields that this one does not know. The
-    last usable version stays in force.
+    A newer software version may have written fields that are unknown to this
+    one. The last usable configuration stays in force.
 
     Attributes
     ----------
--- a/chestnuttide/routing/_dispatching.py
+++ b/chestnuttide/routing/_dispatching.py
@@ -165,7 +165,10 @@
     message: _messages.DispatchEnded,
     now: float,
 ) -> list[object]:
-    """Free the slot, or keep it while the target may still be working."""
+    """Release the slot, unless the target may still be using it.
+
+    Also records the outcome at the target.
+    """
     target_id = record.target_id
     result = message.result
     if result is None and message.sent:
--- a/chestnuttide/routing/_messages.py
+++ b/chestnuttide/routing/_messages.py
@@ -19,7 +19,7 @@
         The request.
     resend : bool
         Whether the entry sends it again after losing its connection to the
-        owner, so that a known id is no duplicate.
+        owner, so that a known id does not count as a duplicate.
     """
 
     call: int
@@ -278,7 +278,7 @@
     address : str
         ``ip:port`` of the target.
     path : str
-        Path of its status page.
+        Path of its status endpoint.
     """
 
     target_id: str
--- a/chestnuttide/routing/_targets.py
+++ b/chestnuttide/routing/_targets.py
@@ -37,7 +37,7 @@
     slots : int
         Requests that it may run at once; at most its connection limit.
     leaving : bool
-        Whether it is shutting down and gets no new requests.
+        Whether it is leaving or gone and gets no new requests.
     gone : bool
         Whether the platform lists it as gone.
     in_use : int
