--- a/chestnuttide/routing/tests/test_router_properties.py
+++ b/chestnuttide/routing/tests/test_router_properties.py
@@ -217,8 +217,8 @@
     """Guards slot limits, at-most-once runs, single answers and refusals.
 
     A failure means that slots were overrun, that a non-idempotent request
-    ran twice, that a call got two answers or none, or that a request that
-    ran was reported as not run.
+    ran twice, that a call got two answers or none, or that an idempotent
+    request that ran was reported as not run.
     """
     simulation = _Simulation()
     for kind, choice in events:
