--- a/chestnuttide/node/_advisor_queries.py
+++ b/chestnuttide/node/_advisor_queries.py
@@ -126,7 +126,7 @@
 ) -> _messages.AdvisorReply:
     """Query the advisor for a peer or for an owner on this instance."""
     try:
-        tickets = await platform.ask_advisor(
+        tickets = await platform.query_advisor(
             http,
             address,
             step=message.step,
--- a/chestnuttide/node/_commands.py
+++ b/chestnuttide/node/_commands.py
@@ -85,7 +85,7 @@
 def handle_rejection(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
-    reply: platform.OrderReply,
+    reply: platform.CommandReply,
     kind: str,
 ) -> None:
     owner.metrics.commands.inc(
@@ -153,7 +153,7 @@
             worker_address(worker),
             task=task,
             run=number,
-            fence=owner.fencing_token,
+            fencing_token=owner.fencing_token,
             timeout_s=COMMAND_TIMEOUT_S,
             may_send=lambda: _ownership.may_send_commands(owner),
         )
@@ -191,13 +191,13 @@
     percent = run.pace_percent
     run.paced_percent = percent
     try:
-        reply = await platform.pace_run(
+        reply = await platform.throttle_run(
             owner.workers_http,
             worker_address(worker),
             task=run.task,
             run=run.number,
             percent=percent,
-            fence=owner.fencing_token,
+            fencing_token=owner.fencing_token,
             timeout_s=COMMAND_TIMEOUT_S,
             may_send=lambda: _ownership.may_send_commands(owner),
         )
--- a/chestnuttide/node/_polls.py
+++ b/chestnuttide/node/_polls.py
@@ -110,11 +110,11 @@
         workloads.note_grant(worker, deadline_ms, now=sent_at)
     first = not worker.seen_at
     try:
-        reply = await platform.hold_runs(
+        reply = await platform.poll_worker(
             owner.workers_http,
             _commands.worker_address(worker),
-            fence=owner.fencing_token,
-            acknowledged_end=workloads.acknowledged_end(worker),
+            fencing_token=owner.fencing_token,
+            acknowledged_completion=workloads.acknowledged_completion(worker),
             deadline_ms=deadline_ms,
             wait_s=wait_s,
             timeout_s=POLL_TIMEOUT_S,
@@ -125,7 +125,7 @@
         return False
     if owner.deposed.is_set():
         return False
-    if isinstance(reply, platform.OrderReply):
+    if isinstance(reply, platform.CommandReply):
         _commands.handle_rejection(owner, worker, reply, "hold")
         return False
     if reply.born_ms != worker.report.born_ms:
--- a/chestnuttide/node/_release.py
+++ b/chestnuttide/node/_release.py
@@ -129,7 +129,7 @@
 ) -> _messages.ReleaseReply:
     """Release a peer's ownership on its behalf, if it still exists."""
     released = False
-    age_s = time.monotonic() - session.store.answered_at
+    age_s = time.monotonic() - session.store.last_response_at
     if not session.store.failing_since and age_s < STORE_REACHABLE_S:
         try:
             await platform.commit(
--- a/chestnuttide/node/_session.py
+++ b/chestnuttide/node/_session.py
@@ -463,7 +463,7 @@
     if not session.lease:
         return
     try:
-        await platform.end_lease(session.store, session.lease)
+        await platform.revoke_lease(session.store, session.lease)
     except errors.SchedulerError as error:
         LOG.warning("Lease was not ended.", error=str(error))
     LOG.info("Left the cell.")
--- a/chestnuttide/node/_starts.py
+++ b/chestnuttide/node/_starts.py
@@ -37,7 +37,7 @@
             run=run.number,
             payload=run.job.spec.payload,
             deadline_ms=deadline_ms,
-            fence=owner.fencing_token,
+            fencing_token=owner.fencing_token,
             checkpoint=run.checkpoint,
             ticket=run.ticket,
             timeout_s=_commands.COMMAND_TIMEOUT_S,
@@ -94,7 +94,7 @@
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     run: workloads.Run,
-    reply: platform.OrderReply,
+    reply: platform.CommandReply,
 ) -> None:
     now = _clock.now()
     if reply.clock_ms is not None:
--- a/chestnuttide/node/_submission.py
+++ b/chestnuttide/node/_submission.py
@@ -181,7 +181,7 @@
     Nothing is sent while the store is unresponsive. An unanswered write may
     still take effect, so its job could not be refused.
     """
-    if context.session.store.silent:
+    if context.session.store.unresponsive:
         return "refused"
     try:
         await platform.commit(
--- a/chestnuttide/platform/__init__.py
+++ b/chestnuttide/platform/__init__.py
@@ -12,8 +12,9 @@
 from chestnuttide.platform import _worker_commands
 
 ClusterConfig = _formats.ClusterConfig
+CommandReply = _worker_commands.CommandReply
+Completion = _worker_commands.Completion
 ConditionError = _kv_store.ConditionError
-EndRow = _worker_commands.Completion
 Entry = _ports.Entry
 HistoryLostError = _kv_store.HistoryLostError
 HttpClient = _http.HttpClient
@@ -21,11 +22,10 @@
 InstanceList = _ports.InstanceList
 Item = _kv_store.Item
 KvStore = _kv_store.KvStore
-Look = _worker_commands.PollReply
 MAX_TRANSACTION_ENTRIES = _kv_store.MAX_TRANSACTION_ENTRIES
 MAX_WORKERS_PER_CALL = _advisor.MAX_WORKERS_PER_CALL
-OrderReply = _worker_commands.CommandReply
-RunRow = _worker_commands.RunReport
+PollReply = _worker_commands.PollReply
+RunReport = _worker_commands.RunReport
 StartOutcome = _ports.StartOutcome
 Store = _ports.Store
 StoreRefusedError = _kv_store.StoreRefusedError
@@ -38,32 +38,33 @@
 WatchResult = _ports.WatchResult
 WorkerAddress = _worker_commands.WorkerAddress
 WorkerAgent = _ports.WorkerAgent
-ask_advisor = _advisor.query_advisor
 commit = _kv_store.commit
 decode_config = _formats.decode_config
 decode_job = _formats.decode_job
 decode_worker = _formats.decode_worker
-end_lease = _kv_store.revoke_lease
 grant_lease = _kv_store.grant_lease
-hold_runs = _worker_commands.poll_worker
 is_job_id = _formats.is_job_id
 make_client = _http.make_client
 make_instance_list = _instance_list_client.make_instance_list
 make_store = _store_client.make_store
 make_targets = _target_client.make_targets
 make_worker_agent = _worker_agent_client.make_worker_agent
-pace_run = _worker_commands.throttle_run
+poll_worker = _worker_commands.poll_worker
+query_advisor = _advisor.query_advisor
 read_all = _kv_store.read_all
 read_key = _kv_store.read_key
 renew_lease = _kv_store.renew_lease
+revoke_lease = _kv_store.revoke_lease
 start_run = _worker_commands.start_run
 stop_run = _worker_commands.stop_run
+throttle_run = _worker_commands.throttle_run
 watch_keys = _kv_store.watch_keys
 
 __all__ = [
     "ClusterConfig",
+    "CommandReply",
+    "Completion",
     "ConditionError",
-    "EndRow",
     "Entry",
     "HistoryLostError",
     "HttpClient",
@@ -71,11 +72,10 @@
     "InstanceList",
     "Item",
     "KvStore",
-    "Look",
     "MAX_TRANSACTION_ENTRIES",
     "MAX_WORKERS_PER_CALL",
-    "OrderReply",
-    "RunRow",
+    "PollReply",
+    "RunReport",
     "StartOutcome",
     "Store",
     "StoreRefusedError",
@@ -88,25 +88,25 @@
     "WatchResult",
     "WorkerAddress",
     "WorkerAgent",
-    "ask_advisor",
     "commit",
     "decode_config",
     "decode_job",
     "decode_worker",
-    "end_lease",
     "grant_lease",
-    "hold_runs",
     "is_job_id",
     "make_client",
     "make_instance_list",
     "make_store",
     "make_targets",
     "make_worker_agent",
-    "pace_run",
+    "poll_worker",
+    "query_advisor",
     "read_all",
     "read_key",
     "renew_lease",
+    "revoke_lease",
     "start_run",
     "stop_run",
+    "throttle_run",
     "watch_keys",
 ]
--- a/chestnuttide/platform/_kv_store.py
+++ b/chestnuttide/platform/_kv_store.py
@@ -143,9 +143,9 @@
     failing_since : float
         Monotonic time of the first failure since the last response; 0 while
         calls succeed.
-    answered_at : float
+    last_response_at : float
         Monotonic time of the last response other than 429 or 503.
-    silent : bool
+    unresponsive : bool
         Whether the last failure was a call without a response.
     """
 
@@ -154,8 +154,8 @@
     timeout_s: float
     count: collections.abc.Callable[[str, str], None]
     failing_since: float = 0.0
-    answered_at: float = 0.0
-    silent: bool = False
+    last_response_at: float = 0.0
+    unresponsive: bool = False
 
 
 async def read_key(store: KvStore, key: str) -> Item | None:
@@ -354,14 +354,14 @@
             remedy="Retry later.",
         )
     store.failing_since = 0.0
-    store.answered_at = time.monotonic()
-    store.silent = False
+    store.last_response_at = time.monotonic()
+    store.unresponsive = False
     return reply
 
 
 def _record_failure(store: KvStore, *, unanswered: bool) -> None:
     store.failing_since = store.failing_since or time.monotonic()
-    store.silent = unanswered
+    store.unresponsive = unanswered
 
 
 def _decode_json(reply: _http.Reply) -> dict[str, object]:
--- a/chestnuttide/platform/_worker_commands.py
+++ b/chestnuttide/platform/_worker_commands.py
@@ -24,7 +24,7 @@
     percent : float
         Progress in percent; a long-running task reports 100 once it serves
         requests.
-    measure : float
+    latency_ms_or_cpu : float
         Over the last half second: tail latency in ms if the task serves
         requests, else its CPU usage.
     """
@@ -33,7 +33,7 @@
     run: int
     checkpoint: str
     percent: float
-    measure: float
+    latency_ms_or_cpu: float
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -48,7 +48,7 @@
         Name of the task.
     run : int
         Number of the run.
-    how : str
+    result : str
         Result of the run: ``done``, ``failed``, ``stopped``, ``lapsed``,
         ``broken`` or ``alone``.
     checkpoint : str
@@ -58,7 +58,7 @@
     number: int
     task: str
     run: int
-    how: str
+    result: str
     checkpoint: str
 
 
@@ -123,8 +123,8 @@
     http: _http.HttpClient,
     worker: WorkerAddress,
     *,
-    fence: int,
-    acknowledged_end: int,
+    fencing_token: int,
+    acknowledged_completion: int,
     deadline_ms: int | None,
     wait_s: float,
     timeout_s: float,
@@ -138,9 +138,9 @@
         Client that sends the request.
     worker : WorkerAddress
         The worker.
-    fence : int
+    fencing_token : int
         Fencing token of the owner.
-    acknowledged_end : int
+    acknowledged_completion : int
         Acknowledges all completions up to this number, which must be stored;
         the worker then forgets them.
     deadline_ms : int or None
@@ -166,7 +166,10 @@
     """
     # "seenUpto" acknowledges completions permanently: they are not returned
     # again, so it cannot be used as a read position.
-    body: dict[str, object] = {"fence": fence, "seenUpto": acknowledged_end}
+    body: dict[str, object] = {
+        "fence": fencing_token,
+        "seenUpto": acknowledged_completion,
+    }
     if deadline_ms is not None:
         body["deadlineMs"] = deadline_ms
     if wait_s > 0:
@@ -187,7 +190,7 @@
                     number=row[0],
                     task=row[1],
                     run=row[2],
-                    how=row[3],
+                    result=row[3],
                     checkpoint=row[4] if len(row) > 4 else "",
                 )
                 for row in document["ended"]
@@ -209,7 +212,7 @@
     run: int,
     payload: str,
     deadline_ms: int,
-    fence: int,
+    fencing_token: int,
     checkpoint: str,
     ticket: str,
     timeout_s: float,
@@ -221,7 +224,7 @@
         "run": run,
         "spec": payload,
         "deadlineMs": deadline_ms,
-        "fence": fence,
+        "fence": fencing_token,
     }
     if checkpoint:
         body["checkpointed"] = checkpoint
@@ -238,12 +241,12 @@
     *,
     task: str,
     run: int,
-    fence: int,
+    fencing_token: int,
     timeout_s: float,
     may_send: collections.abc.Callable[[], bool],
 ) -> CommandReply:
     """Stop a run, or prevent it from starting later; see `poll_worker`."""
-    body = {"task": task, "run": run, "fence": fence}
+    body = {"task": task, "run": run, "fence": fencing_token}
     return _decode_command_reply(
         await _post(http, worker, "/v1/run-stop", body, timeout_s, may_send)
     )
@@ -256,12 +259,17 @@
     task: str,
     run: int,
     percent: int,
-    fence: int,
+    fencing_token: int,
     timeout_s: float,
     may_send: collections.abc.Callable[[], bool],
 ) -> CommandReply:
     """Limit a run to a percentage of its speed; see `poll_worker`."""
-    body = {"task": task, "run": run, "percent": percent, "fence": fence}
+    body = {
+        "task": task,
+        "run": run,
+        "percent": percent,
+        "fence": fencing_token,
+    }
     return _decode_command_reply(
         await _post(http, worker, "/v1/pace", body, timeout_s, may_send)
     )
@@ -273,7 +281,7 @@
         run=row[1],
         checkpoint=row[2],
         percent=row[3],
-        measure=row[4] if len(row) > 4 else 0,
+        latency_ms_or_cpu=row[4] if len(row) > 4 else 0,
     )
 
 
--- a/chestnuttide/workloads/__init__.py
+++ b/chestnuttide/workloads/__init__.py
@@ -30,7 +30,7 @@
 UnitState = _state.UnitState
 Worker = _state.Worker
 WorkerReport = _specs.WorkerReport
-acknowledged_end = _poll_replies.acknowledged_end
+acknowledged_completion = _poll_replies.acknowledged_completion
 add_job = _lifecycle.add_job
 apply_look = _poll_replies.apply_look
 apply_progress = _records.apply_progress
@@ -86,7 +86,7 @@
     "UnitState",
     "Worker",
     "WorkerReport",
-    "acknowledged_end",
+    "acknowledged_completion",
     "add_job",
     "apply_look",
     "apply_progress",
--- a/chestnuttide/workloads/_lifecycle.py
+++ b/chestnuttide/workloads/_lifecycle.py
@@ -133,7 +133,7 @@
 def end_run(
     pool: _state.Pool,
     run: _state.Run,
-    how: str,
+    result: str,
     checkpoint: str,
     *,
     now: float,
@@ -147,7 +147,7 @@
         The pool.
     run : Run
         The run.
-    how : str
+    result : str
         How the run ended, as the worker reports it; ``never`` for a run that
         did not start, and ``lost`` for one that its worker no longer runs or
         whose worker is gone.
@@ -167,12 +167,12 @@
     checkpoint = checkpoint or run.checkpoint
     if checkpoint and step.checkpointable:
         unit.checkpoint = checkpoint
-    if how == "done" and not step.lasting:
+    if result == "done" and not step.lasting:
         _state.set_unit_state(job, unit, _state.UnitState.DONE)
         stop_runs(pool, unit, except_number=run.number if step.gang else None)
         _complete_if_done(pool, job, now_unix_s)
         return
-    if how == "failed":
+    if result == "failed":
         _record_failure(pool, run, now=now)
         limit = job.spec.queue.attempt_limit
         if not step.lasting and unit.failures >= limit:
--- a/chestnuttide/workloads/_poll_replies.py
+++ b/chestnuttide/workloads/_poll_replies.py
@@ -17,22 +17,22 @@
 
 
 class RunRow(typing.Protocol):
-    """A run that a worker lists as running; see ``platform.RunRow``."""
+    """A run that a worker lists as running; see ``platform.RunReport``."""
 
     task: str
     run: int
     checkpoint: str
     percent: float
-    measure: float
+    latency_ms_or_cpu: float
 
 
 class CompletionRow(typing.Protocol):
-    """A completion that a worker lists; see ``platform.EndRow``."""
+    """A completion that a worker lists; see ``platform.Completion``."""
 
     number: int
     task: str
     run: int
-    how: str
+    result: str
     checkpoint: str
 
 
@@ -121,7 +121,7 @@
     return not worker.listed and not worker.runs and not worker.unstored
 
 
-def acknowledged_end(worker: _state.Worker) -> int:
+def acknowledged_completion(worker: _state.Worker) -> int:
     """Return the number up to which a poll may acknowledge completions.
 
     A worker that failed to answer may have restarted, and a new incarnation
@@ -157,12 +157,12 @@
     worker.seen_at = now
     completions: list[tuple[_state.Run, str]] = []
 
-    def complete(run: _state.Run, how: str, checkpoint: str) -> None:
-        if how == "done":
+    def complete(run: _state.Run, result: str, checkpoint: str) -> None:
+        if result == "done":
             _lifecycle.record_success(worker)
-        completions.append((run, how))
+        completions.append((run, result))
         _lifecycle.end_run(
-            pool, run, how, checkpoint, now=now, now_unix_s=now_unix_s
+            pool, run, result, checkpoint, now=now, now_unix_s=now_unix_s
         )
 
     completed_keys = set()
@@ -173,7 +173,7 @@
         worker.highest_end = row.number
         run = worker.runs.get((row.task, row.run))
         if run is not None:
-            complete(run, row.how, row.checkpoint)
+            complete(run, row.result, row.checkpoint)
             worker.unstored.append(
                 _state.UnstoredCompletion(
                     number=row.number, job=run.job, change=run.job.change
@@ -187,9 +187,9 @@
     for run in list(worker.runs.values()):
         if run.key in listed or run.key in completed_keys:
             continue
-        how = _infer_completion(run, reply)
-        if how:
-            complete(run, how, "")
+        result = _infer_completion(run, reply)
+        if result:
+            complete(run, result, "")
     _record_unknown_runs(pool, worker, listed, completed_keys)
     note_stored(worker)
     return completions
@@ -208,7 +208,7 @@
     if row.percent != run.percent:
         run.percent = row.percent
         run.progress_at = now
-    run.measure = row.measure
+    run.latency_ms_or_cpu = row.latency_ms_or_cpu
     if row.checkpoint and row.checkpoint != run.checkpoint:
         run.checkpoint = row.checkpoint
 
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -86,7 +86,7 @@
     deadline_ms : int
         Expiry of the start's lease on the worker's clock; 0 before it is
         sent.
-    percent, measure : float
+    percent, latency_ms_or_cpu : float
         Progress and the measured latency or processor use, as the worker
         last listed them.
     progress_at : float
@@ -118,7 +118,7 @@
     confirmed_at: float = 0.0
     deadline_ms: int = 0
     percent: float = 0.0
-    measure: float = 0.0
+    latency_ms_or_cpu: float = 0.0
     progress_at: float = 0.0
     stopping: bool = False
     stop_sent_at: float = 0.0
--- a/chestnuttide/workloads/_supervision.py
+++ b/chestnuttide/workloads/_supervision.py
@@ -127,4 +127,4 @@
 def _latency_share(run: _state.Run, step: _specs.StepSpec) -> float:
     if run.percent < 100:
         return 0.0
-    return run.measure / step.latency_target_ms
+    return run.latency_ms_or_cpu / step.latency_target_ms
--- a/chestnuttide/workloads/tests/_world.py
+++ b/chestnuttide/workloads/tests/_world.py
@@ -17,7 +17,7 @@
     run: int
     checkpoint: str = ""
     percent: float = 0.0
-    measure: float = 0.0
+    latency_ms_or_cpu: float = 0.0
 
 
 @attrs.frozen(kw_only=True)
@@ -27,7 +27,7 @@
     number: int
     task: str
     run: int
-    how: str
+    result: str
     checkpoint: str = ""
 
 
@@ -150,7 +150,7 @@
 def end_of(
     pool: workloads.Pool,
     run: workloads.Run,
-    how: str,
+    result: str,
     *,
     sent_at: float = 1.0,
     checkpoint: str = "",
@@ -166,7 +166,7 @@
         number=worker.highest_end + 1,
         task=run.task,
         run=run.number,
-        how=how,
+        result=result,
         checkpoint=checkpoint,
     )
     apply_reply(
--- a/chestnuttide/workloads/tests/test_lifecycle.py
+++ b/chestnuttide/workloads/tests/test_lifecycle.py
@@ -33,11 +33,11 @@
     """Guards against runs beyond the attempt limit and missing retries."""
     pool = _world.make_pool()
     job = _world.submit(pool, _world.make_step())
-    for number, how in enumerate(completions, start=1):
+    for number, result in enumerate(completions, start=1):
         now = float(number)
         (run,) = _world.start_all(pool, now=now)
         assert run.number == number
-        _world.end_of(pool, run, how, sent_at=now + 0.5)
+        _world.end_of(pool, run, result, sent_at=now + 0.5)
     assert job.state == state
     assert job.units[(0, 0, 0)].failures == failures
     if state in workloads.TERMINAL_STATES:
@@ -50,7 +50,7 @@
     job = _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool)
     completion = _world.CompletionRow(
-        number=1, task=run.task, run=1, how="failed"
+        number=1, task=run.task, run=1, result="failed"
     )
     _world.apply_reply(pool, run.worker_key, ended=(completion,))
     _world.apply_reply(pool, run.worker_key, ended=(completion,), sent_at=2.0)
@@ -77,10 +77,10 @@
     """Guards against a service that stays down after its task has ended."""
     pool = _world.make_pool()
     job = _world.submit(pool, _world.make_step(lasting=True))
-    for number, how in enumerate(("failed", "done", "failed", "lapsed")):
+    for number, result in enumerate(("failed", "done", "failed", "lapsed")):
         now = 1.0 + number
         (run,) = _world.start_all(pool, now=now)
-        _world.end_of(pool, run, how, sent_at=now + 0.3)
+        _world.end_of(pool, run, result, sent_at=now + 0.3)
     assert len(_world.start_all(pool, now=10.0)) == 1
     assert job.state == STATES.RUNNING
 
--- a/chestnuttide/workloads/tests/test_poll_replies.py
+++ b/chestnuttide/workloads/tests/test_poll_replies.py
@@ -169,7 +169,7 @@
     assert not workloads.make_plan(pool, now=5.0).runs
     row = _world.RunRow(task=run.task, run=1)
     completion = _world.CompletionRow(
-        number=1, task=run.task, run=1, how="done"
+        number=1, task=run.task, run=1, result="done"
     )
     _world.apply_reply(
         pool,
@@ -309,7 +309,7 @@
     worker = pool.workers["w0@1"]
     worker.stored_end = 7
     worker.failed_looks = failed_looks
-    assert workloads.acknowledged_end(worker) == acknowledged
+    assert workloads.acknowledged_completion(worker) == acknowledged
 
 
 @pytest.mark.parametrize(
--- a/chestnuttide/workloads/tests/test_properties.py
+++ b/chestnuttide/workloads/tests/test_properties.py
@@ -117,8 +117,8 @@
             ]
             if runs:
                 run = rng.choice(runs)
-                how = "stopped" if run.stopping else rng.choice(COMPLETIONS)
-                _world.end_of(pool, run, how)
+                result = "stopped" if run.stopping else rng.choice(COMPLETIONS)
+                _world.end_of(pool, run, result)
         elif rng.random() < 0.3:
             job = rng.choice(list(pool.jobs.values()))
             workloads.cancel_job(pool, job, _world.UNIX_S)
--- a/chestnuttide/workloads/tests/test_supervision.py
+++ b/chestnuttide/workloads/tests/test_supervision.py
@@ -76,6 +76,6 @@
         pool, _world.make_step(filler=True), job_id="00000000000000bb"
     )
     serving, filler = _world.start_all(pool)
-    serving.percent, serving.measure = 100, tail_ms
+    serving.percent, serving.latency_ms_or_cpu = 100, tail_ms
     workloads.pace_fillers(pool.workers["w0@1"])
     assert filler.pace_percent == speed_percent
