--- a/chestnuttide/node/_commands.py
+++ b/chestnuttide/node/_commands.py
@@ -70,7 +70,7 @@
         why=reason,
         runs=len(worker.runs),
     )
-    lost = workloads.end_lifetime(
+    lost = workloads.end_incarnation(
         owner.pool,
         worker,
         now=_clock.now(),
--- a/chestnuttide/node/_commits.py
+++ b/chestnuttide/node/_commits.py
@@ -200,8 +200,8 @@
     for job in jobs:
         progress = _keys.progress(owner.service, job.spec.id)
         if _has_ended(job):
-            put[_keys.job(owner.service, job.spec.id)] = workloads.encode_end(
-                job
+            put[_keys.job(owner.service, job.spec.id)] = (
+                workloads.encode_ended_job(job)
             )
             remove.append(progress)
         else:
@@ -287,7 +287,7 @@
     for job, _, _ in batch.jobs:
         start_recorded_runs(owner, job)
     for worker in owner.pool.workers.values():
-        workloads.note_stored(worker)
+        workloads.update_stored_completion(worker)
     owner.committed.set()
     owner.committed = asyncio.Event()
 
--- a/chestnuttide/node/_polls.py
+++ b/chestnuttide/node/_polls.py
@@ -54,26 +54,26 @@
     owner: _ownership.Ownership, worker: workloads.Worker
 ) -> None:
     while not owner.deposed.is_set():
-        if workloads.is_finished(worker):
+        if workloads.is_removable(worker):
             break
-        if worker.stored_end < worker.highest_end:
+        if worker.stored_completion < worker.last_completion:
             await _wait_for_commit(owner)
         if not worker.report.address or not _ownership.may_send_commands(
             owner
         ):
             await asyncio.sleep(_commands.WORKER_RETRY_PAUSE_S)
         elif not await poll_worker(owner, worker, wait_s=_poll_wait_s(worker)):
-            worker.failed_looks += 1
-            if worker.failed_looks == 1:
+            worker.failed_polls += 1
+            if worker.failed_polls == 1:
                 LOG.warning(
                     "Worker is unresponsive.",
                     worker=worker.key,
                     runs=len(worker.runs),
                 )
             await asyncio.sleep(_commands.WORKER_RETRY_PAUSE_S)
-        elif worker.failed_looks:
+        elif worker.failed_polls:
             LOG.info("Worker responds again.", worker=worker.key)
-            worker.failed_looks = 0
+            worker.failed_polls = 0
             owner.plan_requested.set()
         _expire_runs(owner, worker)
     owner.pool.workers.pop(worker.key, None)
@@ -90,7 +90,7 @@
 
 
 def _poll_wait_s(worker: workloads.Worker) -> float:
-    if not worker.seen_at or worker.failed_looks:
+    if not worker.last_reply_at or worker.failed_polls:
         return 0.0
     return BUSY_POLL_WAIT_S if worker.runs else IDLE_POLL_WAIT_S
 
@@ -103,12 +103,12 @@
     Returns whether the worker replied as the incarnation that was polled.
     """
     sent_at = _clock.now()
-    deadline_ms = workloads.hold_deadline_ms(
+    deadline_ms = workloads.poll_lease_deadline_ms(
         worker, now=sent_at, lease_s=owner.pool.bounds.lease_s
     )
     if deadline_ms is not None:
-        workloads.note_grant(worker, deadline_ms, now=sent_at)
-    first = not worker.seen_at
+        workloads.record_lease(worker, deadline_ms, now=sent_at)
+    first = not worker.last_reply_at
     try:
         reply = await platform.poll_worker(
             owner.workers_http,
@@ -131,17 +131,17 @@
     if reply.born_ms != worker.report.born_ms:
         replace_incarnation(owner, worker, reply.born_ms)
         return False
-    observation = workloads.Observation(
+    poll_reply = workloads.PollReply(
         clock_ms=reply.clock_ms,
         running=reply.running,
         ended=reply.ended,
         sent_at=sent_at,
         received_at=_clock.now(),
     )
-    completions = workloads.apply_look(
+    completions = workloads.apply_poll_reply(
         owner.pool,
         worker,
-        observation,
+        poll_reply,
         now_unix_s=_clock.unix_time(),
     )
     for run, outcome in completions:
@@ -185,7 +185,7 @@
 def _reconcile_runs(
     owner: _ownership.Ownership, worker: workloads.Worker
 ) -> None:
-    if worker.stored_end < worker.highest_end:
+    if worker.stored_completion < worker.last_completion:
         _ownership.request_commit(owner, urgent=False)
     for task, number in owner.pool.unknown_runs.get(worker.key, ()):
         LOG.warning(
@@ -207,7 +207,7 @@
 def _expire_runs(
     owner: _ownership.Ownership, worker: workloads.Worker
 ) -> None:
-    expired = workloads.lapse_silent_worker(
+    expired = workloads.expire_worker_lease(
         owner.pool,
         worker,
         now=_clock.now(),
@@ -224,7 +224,7 @@
     owner: _ownership.Ownership, worker: workloads.Worker, born_ms: int
 ) -> None:
     """Replace a worker that has restarted under the same id."""
-    reassigned = workloads.begin_lifetime(owner.pool, worker, born_ms)
+    reassigned = workloads.start_incarnation(owner.pool, worker, born_ms)
     for run in reassigned:
         LOG.warning(
             "Start may have reached a new incarnation.",
--- a/chestnuttide/node/_starts.py
+++ b/chestnuttide/node/_starts.py
@@ -28,7 +28,7 @@
         worker, now=now, lease_s=START_LEASE_S
     )
     run.deadline_ms = deadline_ms
-    workloads.note_grant(worker, deadline_ms, now=now)
+    workloads.record_lease(worker, deadline_ms, now=now)
     try:
         reply = await platform.start_run(
             owner.workers_http,
@@ -98,7 +98,7 @@
 ) -> None:
     now = _clock.now()
     if reply.clock_ms is not None:
-        workloads.note_clock(worker, reply.clock_ms, now)
+        workloads.record_clock(worker, reply.clock_ms, now)
     if reply.status == 200:
         first = not run.job.started
         workloads.confirm_start(run, now=now)
--- a/chestnuttide/node/_updates.py
+++ b/chestnuttide/node/_updates.py
@@ -92,7 +92,7 @@
     owner: _ownership.Ownership, worker: workloads.Worker
 ) -> None:
     """Replace the former incarnations of a listed worker."""
-    for former in workloads.former_lifetimes(owner.pool, worker.report):
+    for former in workloads.former_incarnations(owner.pool, worker.report):
         _polls.replace_incarnation(owner, former, worker.report.born_ms)
 
 
--- a/chestnuttide/node/tests/test_commits.py
+++ b/chestnuttide/node/tests/test_commits.py
@@ -110,15 +110,16 @@
                 _world.end_of(owner.pool, run, "done")
         await asyncio.sleep(0.2)
         workers = owner.pool.workers.values()
-        assert all(worker.stored_end == 0 for worker in workers)
+        assert all(worker.stored_completion == 0 for worker in workers)
         store.refusal = 0
         async with asyncio.timeout(2.0):
             while not all(
-                worker.stored_end == worker.highest_end for worker in workers
+                worker.stored_completion == worker.last_completion
+                for worker in workers
             ):
-                assert not any(worker.stored_end for worker in workers) or (
-                    _keys.job(SERVICE, "00000000000000aa") in store.keys
-                )
+                assert not any(
+                    worker.stored_completion for worker in workers
+                ) or (_keys.job(SERVICE, "00000000000000aa") in store.keys)
                 await asyncio.sleep(0.005)
 
     _run(scenario)
--- a/chestnuttide/workloads/__init__.py
+++ b/chestnuttide/workloads/__init__.py
@@ -16,9 +16,9 @@
 Job = _state.Job
 JobSpec = _specs.JobSpec
 JobState = _state.JobState
-Observation = _poll_replies.Observation
 Phase = _state.Phase
 Plan = _planning.Plan
+PollReply = _poll_replies.PollReply
 Pool = _state.Pool
 Question = _advisor_queries.Question
 Queue = _specs.Queue
@@ -32,36 +32,36 @@
 WorkerReport = _specs.WorkerReport
 acknowledged_completion = _poll_replies.acknowledged_completion
 add_job = _lifecycle.add_job
-apply_look = _poll_replies.apply_look
+apply_poll_reply = _poll_replies.apply_poll_reply
 apply_progress = _records.apply_progress
-begin_lifetime = _incarnations.begin_lifetime
 cancel_job = _lifecycle.cancel_job
 confirm_start = _poll_replies.confirm_start
 decode_job = _records.decode_job
-encode_end = _records.encode_end
+encode_ended_job = _records.encode_ended_job
 encode_job = _records.encode_job
 encode_progress = _records.encode_progress
-end_lifetime = _incarnations.end_lifetime
+end_incarnation = _incarnations.end_incarnation
 end_run = _lifecycle.end_run
 evacuate = _supervision.evacuate
+expire_worker_lease = _poll_replies.expire_worker_lease
 find_stalled = _supervision.find_stalled
-former_lifetimes = _incarnations.former_lifetimes
-hold_deadline_ms = _poll_replies.hold_deadline_ms
-is_finished = _poll_replies.is_finished
+former_incarnations = _incarnations.former_incarnations
+is_removable = _poll_replies.is_removable
 is_usable = _planning.is_usable
-lapse_silent_worker = _poll_replies.lapse_silent_worker
 lease_deadline_ms = _poll_replies.lease_deadline_ms
 make_plan = _planning.make_plan
 note_advice = _advisor_queries.note_advice
-note_clock = _poll_replies.note_clock
-note_grant = _poll_replies.note_grant
 note_question = _advisor_queries.note_question
 pace_fillers = _supervision.pace_fillers
+poll_lease_deadline_ms = _poll_replies.poll_lease_deadline_ms
+record_clock = _poll_replies.record_clock
+record_lease = _poll_replies.record_lease
 release_due_occurrences = _lifecycle.release_due_occurrences
+start_incarnation = _incarnations.start_incarnation
 step_of = _lifecycle.step_of
-note_stored = _poll_replies.note_stored
 stop_runs = _lifecycle.stop_runs
 stop_stalled = _supervision.stop_stalled
+update_stored_completion = _poll_replies.update_stored_completion
 update_worker = _poll_replies.update_worker
 worker_key = _state.worker_key
 
@@ -72,9 +72,9 @@
     "Job",
     "JobSpec",
     "JobState",
-    "Observation",
     "Phase",
     "Plan",
+    "PollReply",
     "Pool",
     "Question",
     "Queue",
@@ -88,36 +88,36 @@
     "WorkerReport",
     "acknowledged_completion",
     "add_job",
-    "apply_look",
+    "apply_poll_reply",
     "apply_progress",
-    "begin_lifetime",
     "cancel_job",
     "confirm_start",
     "decode_job",
-    "encode_end",
+    "encode_ended_job",
     "encode_job",
     "encode_progress",
-    "end_lifetime",
+    "end_incarnation",
     "end_run",
     "evacuate",
+    "expire_worker_lease",
     "find_stalled",
-    "former_lifetimes",
-    "hold_deadline_ms",
-    "is_finished",
+    "former_incarnations",
+    "is_removable",
     "is_usable",
-    "lapse_silent_worker",
     "lease_deadline_ms",
     "make_plan",
     "note_advice",
-    "note_clock",
-    "note_grant",
     "note_question",
     "pace_fillers",
-    "note_stored",
+    "poll_lease_deadline_ms",
+    "record_clock",
+    "record_lease",
     "release_due_occurrences",
+    "start_incarnation",
     "step_of",
     "stop_runs",
     "stop_stalled",
+    "update_stored_completion",
     "update_worker",
     "worker_key",
 ]
--- a/chestnuttide/workloads/_incarnations.py
+++ b/chestnuttide/workloads/_incarnations.py
@@ -12,7 +12,7 @@
 NEVER_EXPIRES_MS = 2**62
 
 
-def former_lifetimes(
+def former_incarnations(
     pool: _state.Pool, report: _specs.WorkerReport
 ) -> list[_state.Worker]:
     """Return the incarnations that a worker's report shows to have ended."""
@@ -25,7 +25,7 @@
     ]
 
 
-def end_lifetime(
+def end_incarnation(
     pool: _state.Pool, worker: _state.Worker, *, now: float, now_unix_s: float
 ) -> list[_state.Run]:
     """End the runs of a former incarnation whose start may have been sent.
@@ -48,7 +48,7 @@
     return lost
 
 
-def begin_lifetime(
+def start_incarnation(
     pool: _state.Pool, worker: _state.Worker, born_ms: int
 ) -> list[_state.Run]:
     """Move the runs that a new incarnation may have started over to it.
--- a/chestnuttide/workloads/_planning.py
+++ b/chestnuttide/workloads/_planning.py
@@ -103,8 +103,8 @@
     return (
         worker.listed
         and not worker.report.draining
-        and worker.seen_at > 0
-        and worker.failed_looks == 0
+        and worker.last_reply_at > 0
+        and worker.failed_polls == 0
         and now >= worker.quarantined_until
     )
 
--- a/chestnuttide/workloads/_poll_replies.py
+++ b/chestnuttide/workloads/_poll_replies.py
@@ -16,7 +16,7 @@
 EXPIRY_MARGIN_S = 0.1
 
 
-class RunRow(typing.Protocol):
+class RunReport(typing.Protocol):
     """A run that a worker lists as running; see ``platform.RunReport``."""
 
     task: str
@@ -26,7 +26,7 @@
     latency_ms_or_cpu: float
 
 
-class CompletionRow(typing.Protocol):
+class Completion(typing.Protocol):
     """A completion that a worker lists; see ``platform.Completion``."""
 
     number: int
@@ -37,29 +37,29 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class Observation:
+class PollReply:
     """A worker's reply to a poll, with the times of the call.
 
     Attributes
     ----------
     clock_ms : int
         The worker's clock when it replied.
-    running : tuple of RunRow
+    running : tuple of RunReport
         All runs that the worker is executing.
-    ended : tuple of CompletionRow
+    ended : tuple of Completion
         Completions that are not yet acknowledged.
     sent_at, received_at : float
         Monotonic times of the request and the reply.
     """
 
     clock_ms: int
-    running: tuple[RunRow, ...]
-    ended: tuple[CompletionRow, ...]
+    running: tuple[RunReport, ...]
+    ended: tuple[Completion, ...]
     sent_at: float
     received_at: float
 
 
-def note_clock(
+def record_clock(
     worker: _state.Worker, clock_ms: int, received_at: float
 ) -> None:
     """Record a reading of a worker's clock, unless a newer one is known."""
@@ -83,7 +83,7 @@
     return worker.clock_ms + int((now - worker.clock_at + lease_s) * 1000)
 
 
-def hold_deadline_ms(
+def poll_lease_deadline_ms(
     worker: _state.Worker, *, now: float, lease_s: float
 ) -> int | None:
     """Return the lease expiry that a poll requests, or None for no lease.
@@ -92,12 +92,12 @@
     unresponsive worker therefore request none, so that the lease expires and
     its runs can be restarted elsewhere.
     """
-    if not worker.runs or worker.failed_looks:
+    if not worker.runs or worker.failed_polls:
         return None
     return lease_deadline_ms(worker, now=now, lease_s=lease_s)
 
 
-def note_stored(worker: _state.Worker) -> None:
+def update_stored_completion(worker: _state.Worker) -> None:
     """Update the number of the last completion that is stored.
 
     A completion is stored once its job's record contains it. Completions are
@@ -106,12 +106,12 @@
     unstored = worker.unstored
     while unstored and unstored[0].job.stored_change >= unstored[0].change:
         unstored.popleft()
-    worker.stored_end = (
-        unstored[0].number - 1 if unstored else worker.highest_end
+    worker.stored_completion = (
+        unstored[0].number - 1 if unstored else worker.last_completion
     )
 
 
-def is_finished(worker: _state.Worker) -> bool:
+def is_removable(worker: _state.Worker) -> bool:
     """Return whether a worker can be removed from the pool.
 
     The store may lose the entry of a live worker and list it again later. A
@@ -128,20 +128,22 @@
     numbers its completions from 1. The number stored for the former
     incarnation does not apply to them.
     """
-    return 0 if worker.failed_looks else worker.stored_end
+    return 0 if worker.failed_polls else worker.stored_completion
 
 
-def note_grant(worker: _state.Worker, deadline_ms: int, *, now: float) -> None:
+def record_lease(
+    worker: _state.Worker, deadline_ms: int, *, now: float
+) -> None:
     """Extend the recorded lease by a command that may have been executed."""
     remaining_s = (deadline_ms - worker.clock_ms) / 1000
     until = worker.clock_at + remaining_s / MIN_CLOCK_RATE + EXPIRY_MARGIN_S
     worker.lease_until = max(worker.lease_until, until, now)
 
 
-def apply_look(
+def apply_poll_reply(
     pool: _state.Pool,
     worker: _state.Worker,
-    reply: Observation,
+    reply: PollReply,
     *,
     now_unix_s: float,
 ) -> list[tuple[_state.Run, str]]:
@@ -153,8 +155,8 @@
         Runs that have ended, and how each ended, for the log.
     """
     now = reply.received_at
-    note_clock(worker, reply.clock_ms, now)
-    worker.seen_at = now
+    record_clock(worker, reply.clock_ms, now)
+    worker.last_reply_at = now
     completions: list[tuple[_state.Run, str]] = []
 
     def complete(run: _state.Run, result: str, checkpoint: str) -> None:
@@ -168,9 +170,9 @@
     completed_keys = set()
     for row in reply.ended:
         completed_keys.add((row.task, row.run))
-        if row.number <= worker.highest_end:
+        if row.number <= worker.last_completion:
             continue
-        worker.highest_end = row.number
+        worker.last_completion = row.number
         run = worker.runs.get((row.task, row.run))
         if run is not None:
             complete(run, row.result, row.checkpoint)
@@ -191,11 +193,11 @@
         if result:
             complete(run, result, "")
     _record_unknown_runs(pool, worker, listed, completed_keys)
-    note_stored(worker)
+    update_stored_completion(worker)
     return completions
 
 
-def _record_running(run: _state.Run, row: RunRow, now: float) -> None:
+def _record_running(run: _state.Run, row: RunReport, now: float) -> None:
     run.listed = True
     if run.phase != _state.Phase.RUNNING:
         run.phase = _state.Phase.RUNNING
@@ -213,7 +215,7 @@
         run.checkpoint = row.checkpoint
 
 
-def _infer_completion(run: _state.Run, reply: Observation) -> str:
+def _infer_completion(run: _state.Run, reply: PollReply) -> str:
     """Return how a run that the reply does not list ended, or "".
 
     A reply to a poll that was sent after the start was confirmed would list
@@ -233,7 +235,7 @@
 def _record_unknown_runs(
     pool: _state.Pool,
     worker: _state.Worker,
-    listed: dict[_state.RunKey, RunRow],
+    listed: dict[_state.RunKey, RunReport],
     completed_keys: set[_state.RunKey],
 ) -> None:
     unknown = {
@@ -259,7 +261,7 @@
             run.job.state = _state.JobState.RUNNING
 
 
-def lapse_silent_worker(
+def expire_worker_lease(
     pool: _state.Pool,
     worker: _state.Worker,
     *,
--- a/chestnuttide/workloads/_records.py
+++ b/chestnuttide/workloads/_records.py
@@ -141,7 +141,7 @@
     return cbor2.dumps([_RECORD_VERSION, _CONVERTER.unstructure(spec)])
 
 
-def encode_end(job: _state.Job) -> bytes:
+def encode_ended_job(job: _state.Job) -> bytes:
     """Encode the record of a job that has ended."""
     ended = EndedJob(
         queue=job.spec.queue.name,
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -327,7 +327,7 @@
         Number of filler runs, and of runs with a latency target.
     step_runs : dict of (str, int, int) to int
         Number of runs by job, occurrence and step.
-    seen_at : float
+    last_reply_at : float
         Monotonic time of the last poll reply to this owner; 0 before the
         first.
     clock_ms, clock_at : int, float or None
@@ -336,11 +336,11 @@
     lease_until : float
         Monotonic time by which all its runs have ended unless its lease is
         renewed.
-    highest_end : int
+    last_completion : int
         Number of the last completion that was applied to its job.
     unstored : deque of UnstoredCompletion
         Completions that may not be acknowledged yet, in sequence.
-    stored_end : int
+    stored_completion : int
         Number of the last completion that is stored and may be acknowledged.
     listed : bool
         Whether the store lists it.
@@ -354,7 +354,7 @@
         Stalled runs since the last success.
     draining_since : float
         Monotonic time at which it was first seen draining; 0 before.
-    failed_looks : int
+    failed_polls : int
         Failed polls since the last reply.
     """
 
@@ -366,22 +366,22 @@
     fillers: int = 0
     serving: int = 0
     step_runs: dict[tuple[str, int, int], int] = attrs.field(factory=dict)
-    seen_at: float = 0.0
+    last_reply_at: float = 0.0
     clock_ms: int = 0
     clock_at: float | None = None
     lease_until: float = 0.0
-    highest_end: int = 0
+    last_completion: int = 0
     unstored: collections.deque[UnstoredCompletion] = attrs.field(
         factory=collections.deque
     )
-    stored_end: int = 0
+    stored_completion: int = 0
     listed: bool = True
     consecutive_failures: int = 0
     failed_jobs: set[str] = attrs.field(factory=set)
     quarantined_until: float = 0.0
     stalls: int = 0
     draining_since: float = 0.0
-    failed_looks: int = 0
+    failed_polls: int = 0
 
 
 @attrs.frozen(kw_only=True, slots=True)
--- a/chestnuttide/workloads/_supervision.py
+++ b/chestnuttide/workloads/_supervision.py
@@ -33,7 +33,7 @@
     """Return runs without progress on workers that answer."""
     stalled = []
     for worker in pool.workers.values():
-        if worker.failed_looks or not worker.seen_at:
+        if worker.failed_polls or not worker.last_reply_at:
             continue
         for run in worker.runs.values():
             if _is_stalled(run, worker, now):
@@ -46,7 +46,7 @@
         return False
     step = _lifecycle.step_of(run.unit, run.job)
     # Progress is only known up to the last poll reply.
-    stalled_s = worker.seen_at - run.progress_at
+    stalled_s = worker.last_reply_at - run.progress_at
     if step.lasting:
         # A throttled or slowed task is not hung; only one that never served.
         return run.percent < 100 and stalled_s > STARTUP_S
--- a/chestnuttide/workloads/tests/_world.py
+++ b/chestnuttide/workloads/tests/_world.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RunRow:
+class RunReport:
     """A run that a worker lists as running."""
 
     task: str
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CompletionRow:
+class Completion:
     """A completion that a worker lists."""
 
     number: int
@@ -65,8 +65,8 @@
     worker = workloads.update_worker(
         pool, report, now=0.0, lease_until=LEASE_S
     )
-    worker.seen_at = 0.001
-    workloads.note_clock(worker, 1000, 0.0)
+    worker.last_reply_at = 0.001
+    workloads.record_clock(worker, 1000, 0.0)
     return worker
 
 
@@ -127,16 +127,16 @@
     pool: workloads.Pool,
     worker_key: str,
     *,
-    running: tuple[RunRow, ...] = (),
-    ended: tuple[CompletionRow, ...] = (),
+    running: tuple[RunReport, ...] = (),
+    ended: tuple[Completion, ...] = (),
     sent_at: float = 1.0,
     clock_ms: int = 2000,
 ) -> list[tuple[workloads.Run, str]]:
     """Apply a poll reply of a worker."""
-    return workloads.apply_look(
+    return workloads.apply_poll_reply(
         pool,
         pool.workers[worker_key],
-        workloads.Observation(
+        workloads.PollReply(
             clock_ms=clock_ms,
             running=running,
             ended=ended,
@@ -158,12 +158,12 @@
     """Apply a poll reply that lists a run as ended, all others as running."""
     worker = pool.workers[run.worker_key]
     others = tuple(
-        RunRow(task=other.task, run=other.number)
+        RunReport(task=other.task, run=other.number)
         for other in worker.runs.values()
         if other is not run
     )
-    completion = CompletionRow(
-        number=worker.highest_end + 1,
+    completion = Completion(
+        number=worker.last_completion + 1,
         task=run.task,
         run=run.number,
         result=result,
--- a/chestnuttide/workloads/tests/test_lifecycle.py
+++ b/chestnuttide/workloads/tests/test_lifecycle.py
@@ -49,7 +49,7 @@
     pool = _world.make_pool(1)
     job = _world.submit(pool, _world.make_step())
     (run,) = _world.start_all(pool)
-    completion = _world.CompletionRow(
+    completion = _world.Completion(
         number=1, task=run.task, run=1, result="failed"
     )
     _world.apply_reply(pool, run.worker_key, ended=(completion,))
--- a/chestnuttide/workloads/tests/test_planning.py
+++ b/chestnuttide/workloads/tests/test_planning.py
@@ -54,9 +54,11 @@
     "change",
     [
         pytest.param({"listed": False}, id="not-listed"),
-        pytest.param({"failed_looks": 1}, id="unresponsive"),
+        pytest.param({"failed_polls": 1}, id="unresponsive"),
         pytest.param({"quarantined_until": 9.0}, id="quarantined"),
-        pytest.param({"seen_at": 0.0}, id="not-yet-polled-by-this-owner"),
+        pytest.param(
+            {"last_reply_at": 0.0}, id="not-yet-polled-by-this-owner"
+        ),
     ],
 )
 def test_unusable_workers(change: dict[str, object]) -> None:
--- a/chestnuttide/workloads/tests/test_poll_replies.py
+++ b/chestnuttide/workloads/tests/test_poll_replies.py
@@ -36,7 +36,7 @@
     pool = _world.make_pool(1)
     run = _make_uncertain_run(pool)
     run.stop_acknowledged_at = stop_acknowledged_at
-    rows = (_world.RunRow(task=run.task, run=1),) if listed else ()
+    rows = (_world.RunReport(task=run.task, run=1),) if listed else ()
     _world.apply_reply(
         pool,
         run.worker_key,
@@ -89,22 +89,22 @@
         worker, now=0.5, lease_s=_world.LEASE_S
     )
     assert deadline == 4000
-    workloads.note_grant(worker, deadline, now=0.5)
-    runs = workloads.lapse_silent_worker(
+    workloads.record_lease(worker, deadline, now=0.5)
+    runs = workloads.expire_worker_lease(
         pool, worker, now=now, now_unix_s=_world.UNIX_S
     )
     assert bool(runs) == expired
 
 
 @pytest.mark.parametrize(
-    ("failed_looks", "renewed"),
+    ("failed_polls", "renewed"),
     [
         pytest.param(0, True, id="answers"),
         pytest.param(1, False, id="unresponsive"),
     ],
 )
 def test_polls_renew_the_lease_of_workers_that_answer(
-    failed_looks: int, renewed: bool
+    failed_polls: int, renewed: bool
 ) -> None:
     """Guards against a dead worker whose runs never expire.
 
@@ -116,8 +116,8 @@
     _world.submit(pool, _world.make_step())
     _world.start_all(pool)
     worker = pool.workers["w0@1"]
-    worker.failed_looks = failed_looks
-    deadline = workloads.hold_deadline_ms(
+    worker.failed_polls = failed_polls
+    deadline = workloads.poll_lease_deadline_ms(
         worker, now=1.0, lease_s=_world.LEASE_S
     )
     assert (deadline is not None) == renewed
@@ -132,7 +132,7 @@
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step())
     _world.apply_reply(
-        pool, "w0@1", running=(_world.RunRow(task="x.0.0.0", run=3),)
+        pool, "w0@1", running=(_world.RunReport(task="x.0.0.0", run=3),)
     )
     assert pool.unknown_runs == {"w0@1": {("x.0.0.0", 3)}}
     assert not workloads.make_plan(pool, now=2.0).runs
@@ -167,8 +167,8 @@
         now_unix_s=_world.UNIX_S,
     )
     assert not workloads.make_plan(pool, now=5.0).runs
-    row = _world.RunRow(task=run.task, run=1)
-    completion = _world.CompletionRow(
+    row = _world.RunReport(task=run.task, run=1)
+    completion = _world.Completion(
         number=1, task=run.task, run=1, result="done"
     )
     _world.apply_reply(
@@ -201,11 +201,11 @@
         now_unix_s=_world.UNIX_S,
     )
     placeholder = pool.workers["w0@1"]
-    assert not workloads.lapse_silent_worker(
+    assert not workloads.expire_worker_lease(
         pool, placeholder, now=19.9, now_unix_s=_world.UNIX_S
     )
     assert not workloads.make_plan(pool, now=19.9).runs
-    workloads.lapse_silent_worker(
+    workloads.expire_worker_lease(
         pool, placeholder, now=20.1, now_unix_s=_world.UNIX_S
     )
     (run,) = workloads.make_plan(pool, now=20.2).runs
@@ -242,15 +242,15 @@
     (run,) = _world.start_all(pool)
     former = pool.workers["w0@1"]
     if listed:
-        row = _world.RunRow(task=run.task, run=run.number)
+        row = _world.RunReport(task=run.task, run=run.number)
         _world.apply_reply(pool, "w0@1", running=(row,))
-    moved = workloads.begin_lifetime(pool, former, 2)
-    workloads.end_lifetime(pool, former, now=2.0, now_unix_s=_world.UNIX_S)
+    moved = workloads.start_incarnation(pool, former, 2)
+    workloads.end_incarnation(pool, former, now=2.0, now_unix_s=_world.UNIX_S)
     assert bool(moved) is not listed
     if seen == "rejected":
         run.stop_acknowledged_at = 2.5
     if seen:
-        row = _world.RunRow(task=run.task, run=run.number)
+        row = _world.RunReport(task=run.task, run=run.number)
         running = (row,) if seen == "runs" else ()
         _world.apply_reply(pool, "w0@2", running=running, sent_at=3.0)
     (unit,) = job.units.values()
@@ -265,8 +265,8 @@
     (run,) = workloads.make_plan(pool, now=0.1).runs
     run.phase = workloads.Phase.UNCERTAIN
     worker = pool.workers["w0@1"]
-    worker.failed_looks = 3
-    workloads.lapse_silent_worker(
+    worker.failed_polls = 3
+    workloads.expire_worker_lease(
         pool, worker, now=worker.lease_until + 1, now_unix_s=_world.UNIX_S
     )
     assert pool.unanswered_starts == {"w0": {run.key}}
@@ -283,22 +283,22 @@
     _world.start_all(pool)
     report = attrs.evolve(pool.workers["w0@1"].report, born_ms=2)
     worker = workloads.update_worker(pool, report, now=1.0, lease_until=9.0)
-    (former,) = workloads.former_lifetimes(pool, report)
-    workloads.begin_lifetime(pool, former, 2)
-    workloads.end_lifetime(pool, former, now=1.0, now_unix_s=_world.UNIX_S)
+    (former,) = workloads.former_incarnations(pool, report)
+    workloads.start_incarnation(pool, former, 2)
+    workloads.end_incarnation(pool, former, now=1.0, now_unix_s=_world.UNIX_S)
     assert worker.used.cpu_millis == 3000
-    assert workloads.former_lifetimes(pool, report) == []
+    assert workloads.former_incarnations(pool, report) == []
 
 
 @pytest.mark.parametrize(
-    ("failed_looks", "acknowledged"),
+    ("failed_polls", "acknowledged"),
     [
         pytest.param(0, 7, id="answers"),
         pytest.param(1, 0, id="may-have-restarted"),
     ],
 )
 def test_completions_of_a_new_incarnation_are_not_acknowledged_unread(
-    failed_looks: int, acknowledged: int
+    failed_polls: int, acknowledged: int
 ) -> None:
     """Guards against completions acknowledged before they were read.
 
@@ -307,8 +307,8 @@
     """
     pool = _world.make_pool(1)
     worker = pool.workers["w0@1"]
-    worker.stored_end = 7
-    worker.failed_looks = failed_looks
+    worker.stored_completion = 7
+    worker.failed_polls = failed_polls
     assert workloads.acknowledged_completion(worker) == acknowledged
 
 
@@ -343,8 +343,8 @@
     for job, is_stored in zip(jobs, stored, strict=True):
         job.stored_change = job.change if is_stored else job.change - 1
     worker = pool.workers["w0@1"]
-    workloads.note_stored(worker)
-    assert worker.stored_end == acknowledged
+    workloads.update_stored_completion(worker)
+    assert worker.stored_completion == acknowledged
 
 
 @pytest.mark.parametrize(
@@ -371,5 +371,5 @@
     worker = pool.workers["w0@1"]
     worker.listed = listed
     job.stored_change = job.change if stored else 0
-    workloads.note_stored(worker)
-    assert workloads.is_finished(worker) is finished
+    workloads.update_stored_completion(worker)
+    assert workloads.is_removable(worker) is finished
--- a/chestnuttide/workloads/tests/test_supervision.py
+++ b/chestnuttide/workloads/tests/test_supervision.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("progress_at", "percent", "seen_at", "stalled"),
+    ("progress_at", "percent", "last_reply_at", "stalled"),
     [
         pytest.param(1.0, 50, 2.5, False, id="recent-progress"),
         pytest.param(1.0, 50, 3.5, True, id="no-progress"),
@@ -17,7 +17,7 @@
     ],
 )
 def test_stalled_runs(
-    progress_at: float, percent: float, seen_at: float, stalled: bool
+    progress_at: float, percent: float, last_reply_at: float, stalled: bool
 ) -> None:
     """Guards against hung tasks that run on and slow ones that are stopped."""
     pool = _world.make_pool(1)
@@ -25,7 +25,7 @@
     (run,) = _world.start_all(pool, now=0.5)
     run.progress_at = progress_at
     run.percent = percent
-    pool.workers[run.worker_key].seen_at = seen_at
+    pool.workers[run.worker_key].last_reply_at = last_reply_at
     assert bool(workloads.find_stalled(pool, now=99.0)) == stalled
 
 
