--- a/chestnuttide/node/_advisor_queries.py
+++ b/chestnuttide/node/_advisor_queries.py
@@ -33,25 +33,25 @@
 
 def start_queries(
     owner: _ownership.Ownership,
-    queries: tuple[workloads.Question, ...],
+    queries: tuple[workloads.AdvisorQuery, ...],
 ) -> None:
     """Start the queries for which an instance is free, in the given order."""
     for query in queries:
         name = _choose_instance(owner, query)
         if name is None:
             continue
-        workloads.note_question(query)
+        workloads.record_query(query)
         owner.advisor_queries[name] = owner.advisor_queries.get(name, 0) + 1
         _ownership.start_command(owner, _send_query(owner, query, name))
 
 
 def _choose_instance(
-    owner: _ownership.Ownership, query: workloads.Question
+    owner: _ownership.Ownership, query: workloads.AdvisorQuery
 ) -> str | None:
     own = owner.session.settings.instance
     candidates = sorted({own, *_peers.connected_names(owner.session.peers)})
     reserved = max(1, round(SHORT_QUERY_INSTANCE_SHARE * len(candidates)))
-    if query.cost_s <= LONG_QUERY_S or len(candidates) == 1:
+    if query.duration_s <= LONG_QUERY_S or len(candidates) == 1:
         candidates = candidates[:reserved]
     else:
         candidates = candidates[reserved:]
@@ -70,14 +70,14 @@
 
 
 async def _send_query(
-    owner: _ownership.Ownership, query: workloads.Question, name: str
+    owner: _ownership.Ownership, query: workloads.AdvisorQuery, name: str
 ) -> None:
     step = f"{query.job.spec.id}.{query.occurrence}.{query.step}"
     workers = tuple(worker.report.id for worker in query.workers)
     message = {
         "step": step,
         "workers": workers[: platform.MAX_WORKERS_PER_CALL],
-        "timeout_s": query.cost_s + TIMEOUT_MARGIN_S,
+        "timeout_s": query.duration_s + TIMEOUT_MARGIN_S,
     }
     tickets = None
     age_s = 0.0
@@ -113,7 +113,7 @@
         workers=len(workers),
         good=-1 if tickets is None else len(tickets),
     )
-    workloads.note_advice(
+    workloads.record_query_result(
         query, tickets, now=_clock.now() - age_s, retry_s=RETRY_S
     )
     owner.plan_requested.set()
--- a/chestnuttide/node/_owner.py
+++ b/chestnuttide/node/_owner.py
@@ -179,7 +179,7 @@
         plan = workloads.make_plan(owner.pool, now=_clock.now())
         if plan.runs:
             _ownership.request_commit(owner, urgent=True)
-        _advisor_queries.start_queries(owner, plan.questions)
+        _advisor_queries.start_queries(owner, plan.queries)
         # Lets all events of one iteration of the event loop share a plan.
         await asyncio.sleep(0)
 
--- a/chestnuttide/node/_starts.py
+++ b/chestnuttide/node/_starts.py
@@ -123,7 +123,7 @@
     if reply.reason == "ticket":
         step = run.job.advice.get(run.unit.key[:2])
         if step is not None:
-            step.good.pop(worker.key, None)
+            step.tickets.pop(worker.key, None)
     if reply.reason == "room":
         run.unit.avoided.add(worker.key)
     if reply.reason != "fence":
--- a/chestnuttide/workloads/__init__.py
+++ b/chestnuttide/workloads/__init__.py
@@ -11,6 +11,7 @@
 from chestnuttide.workloads import _supervision
 
 Advice = _specs.Advice
+AdvisorQuery = _advisor_queries.AdvisorQuery
 Bounds = _state.Bounds
 EndedJob = _records.EndedJob
 Job = _state.Job
@@ -20,7 +21,6 @@
 Plan = _planning.Plan
 PollReply = _poll_replies.PollReply
 Pool = _state.Pool
-Question = _advisor_queries.Question
 Queue = _specs.Queue
 Run = _state.Run
 StepAdvice = _state.StepAdvice
@@ -50,12 +50,12 @@
 is_usable = _planning.is_usable
 lease_deadline_ms = _poll_replies.lease_deadline_ms
 make_plan = _planning.make_plan
-note_advice = _advisor_queries.note_advice
-note_question = _advisor_queries.note_question
 pace_fillers = _supervision.pace_fillers
 poll_lease_deadline_ms = _poll_replies.poll_lease_deadline_ms
 record_clock = _poll_replies.record_clock
 record_lease = _poll_replies.record_lease
+record_query = _advisor_queries.record_query
+record_query_result = _advisor_queries.record_query_result
 release_due_occurrences = _lifecycle.release_due_occurrences
 start_incarnation = _incarnations.start_incarnation
 step_of = _lifecycle.step_of
@@ -67,6 +67,7 @@
 
 __all__ = [
     "Advice",
+    "AdvisorQuery",
     "Bounds",
     "EndedJob",
     "Job",
@@ -76,7 +77,6 @@
     "Plan",
     "PollReply",
     "Pool",
-    "Question",
     "Queue",
     "Run",
     "StepAdvice",
@@ -106,12 +106,12 @@
     "is_usable",
     "lease_deadline_ms",
     "make_plan",
-    "note_advice",
-    "note_question",
     "pace_fillers",
     "poll_lease_deadline_ms",
     "record_clock",
     "record_lease",
+    "record_query",
+    "record_query_result",
     "release_due_occurrences",
     "start_incarnation",
     "step_of",
--- a/chestnuttide/workloads/_advisor_queries.py
+++ b/chestnuttide/workloads/_advisor_queries.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=True, eq=False)
-class Question:
+class AdvisorQuery:
     """An advisor query that should be sent.
 
     Attributes
@@ -28,7 +28,7 @@
     workers: tuple[_state.Worker, ...]
 
     @property
-    def cost_s(self) -> float:
+    def duration_s(self) -> float:
         """Expected duration of the call, in seconds."""
         return call_duration_s(self.job.spec.queue.advice, len(self.workers))
 
@@ -46,14 +46,14 @@
     return advice.decide_s + advice.per_worker_s * workers
 
 
-def note_question(question: Question) -> None:
+def record_query(query: AdvisorQuery) -> None:
     """Record that an advisor query is in flight."""
-    advice = question.job.advice[(question.occurrence, question.step)]
-    advice.in_flight = {worker.key for worker in question.workers}
+    advice = query.job.advice[(query.occurrence, query.step)]
+    advice.in_flight = {worker.key for worker in query.workers}
 
 
-def note_advice(
-    question: Question,
+def record_query_result(
+    query: AdvisorQuery,
     tickets: collections.abc.Mapping[str, str] | None,
     *,
     now: float,
@@ -63,7 +63,7 @@
 
     Parameters
     ----------
-    question : Question
+    query : AdvisorQuery
         The query.
     tickets : mapping of str to str, or None
         Ticket of each allowed worker by worker id; None if the query failed.
@@ -72,16 +72,16 @@
     retry_s : float
         Delay after a failure before the step is queried again, in seconds.
     """
-    advice = question.job.advice.setdefault(
-        (question.occurrence, question.step), _state.StepAdvice()
+    advice = query.job.advice.setdefault(
+        (query.occurrence, query.step), _state.StepAdvice()
     )
     advice.in_flight = set()
     if tickets is None:
         advice.retry_at = now + retry_s
         return
-    validity_s = question.job.spec.queue.advice.validity_s
-    for worker in question.workers:
+    validity_s = query.job.spec.queue.advice.validity_s
+    for worker in query.workers:
         ticket = tickets.get(worker.report.id)
         advice.allowed[worker.key] = ticket is not None
         if ticket is not None:
-            advice.good[worker.key] = (ticket, now + validity_s)
+            advice.tickets[worker.key] = (ticket, now + validity_s)
--- a/chestnuttide/workloads/_planning.py
+++ b/chestnuttide/workloads/_planning.py
@@ -48,12 +48,12 @@
     ----------
     runs : tuple of Run
         Planned runs; each starts once its job's record is stored.
-    questions : tuple of Question
+    queries : tuple of AdvisorQuery
         Advisor queries, most urgent first.
     """
 
     runs: tuple[_state.Run, ...]
-    questions: tuple[_advisor_queries.Question, ...]
+    queries: tuple[_advisor_queries.AdvisorQuery, ...]
 
 
 @attrs.frozen(kw_only=True, slots=True, eq=False)
@@ -81,21 +81,21 @@
 def make_plan(pool: _state.Pool, *, now: float) -> Plan:
     """Place waiting units on workers and select advisor queries."""
     runs: list[_state.Run] = []
-    queries: list[_advisor_queries.Question] = []
+    queries: list[_advisor_queries.AdvisorQuery] = []
     usable = [
         worker
         for worker in pool.workers.values()
         if is_usable(worker, now) and worker.key not in pool.unknown_runs
     ]
     if not usable:
-        return Plan(runs=(), questions=())
+        return Plan(runs=(), queries=())
     view = _free_capacity.make_view(pool, usable, now=now)
     for step in _waiting_steps(pool, view):
         planned, query = _plan_step(view, step)
         runs.extend(planned)
         if query is not None:
             queries.append(query)
-    return Plan(runs=tuple(runs), questions=tuple(queries))
+    return Plan(runs=tuple(runs), queries=tuple(queries))
 
 
 def is_usable(worker: _state.Worker, now: float) -> bool:
@@ -149,7 +149,7 @@
 
 def _plan_step(
     view: _free_capacity.CapacityView, step: _WaitingStep
-) -> tuple[list[_state.Run], _advisor_queries.Question | None]:
+) -> tuple[list[_state.Run], _advisor_queries.AdvisorQuery | None]:
     if step.job.spec.queue.advice is None:
         eligible = _eligible_workers(view, step, view.workers.values())
         runs, unplaced = _place_units(view, step, eligible, None)
@@ -159,7 +159,7 @@
     advice = step.job.advice.setdefault(step.key, _state.StepAdvice())
     candidates = [
         view.workers[key]
-        for key, (_, until) in advice.good.items()
+        for key, (_, until) in advice.tickets.items()
         if key in view.workers and until > view.now + TICKET_MARGIN_S
     ]
     runs, unplaced = _place_units(view, step, candidates, advice)
@@ -184,7 +184,7 @@
 def _has_ticket(
     advice: _state.StepAdvice, worker: _state.Worker, now: float
 ) -> bool:
-    _, until = advice.good.get(worker.key, ("", 0.0))
+    _, until = advice.tickets.get(worker.key, ("", 0.0))
     return until > now + TICKET_MARGIN_S
 
 
@@ -279,7 +279,7 @@
     step: _WaitingStep,
     advice: _state.StepAdvice,
     wanted: int,
-) -> _advisor_queries.Question | None:
+) -> _advisor_queries.AdvisorQuery | None:
     policy = step.job.spec.queue.advice
     allowed_workers = [
         view.workers[key]
@@ -297,19 +297,19 @@
     )
     # Query only workers that are expected to have free capacity by the time
     # of the answer.
-    cost_s = _advisor_queries.call_duration_s(policy, len(chosen))
+    duration_s = _advisor_queries.call_duration_s(policy, len(chosen))
     named = [
         worker
         for worker, wait_s in chosen
-        if wait_s <= cost_s
-        and not _has_ticket(advice, worker, view.now + cost_s)
+        if wait_s <= duration_s
+        and not _has_ticket(advice, worker, view.now + duration_s)
     ]
     if not allowed_workers or fitting < wanted:
         named += _choose_unassessed(view, step, advice, wanted - fitting)
     named = named[:limit]
     if not named:
         return None
-    return _advisor_queries.Question(
+    return _advisor_queries.AdvisorQuery(
         job=step.job,
         occurrence=step.key[0],
         step=step.key[1],
@@ -453,7 +453,7 @@
             number=number,
             worker_key=best.key,
             need=_state.allocated_need(step.demand.spec),
-            ticket=advice.good[best.key][0] if advice is not None else "",
+            ticket=advice.tickets[best.key][0] if advice is not None else "",
             checkpoint=unit.checkpoint,
             planned_at=view.now,
         )
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -188,7 +188,7 @@
 
     Attributes
     ----------
-    good : dict of str to (str, float)
+    tickets : dict of str to (str, float)
         Ticket and the monotonic time of its expiry, by worker incarnation.
     allowed : dict of str to bool
         Whether a worker incarnation may run the step; does not change.
@@ -198,7 +198,7 @@
         Monotonic time before which no further query is sent.
     """
 
-    good: dict[str, tuple[str, float]] = attrs.field(factory=dict)
+    tickets: dict[str, tuple[str, float]] = attrs.field(factory=dict)
     allowed: dict[str, bool] = attrs.field(factory=dict)
     in_flight: set[str] = attrs.field(factory=set)
     retry_at: float = 0.0
--- a/chestnuttide/workloads/tests/test_planning.py
+++ b/chestnuttide/workloads/tests/test_planning.py
@@ -76,11 +76,11 @@
     _world.submit(pool, _world.make_step(), advice=ADVICE)
     plan = workloads.make_plan(pool, now=1.0)
     assert not plan.runs
-    (query,) = plan.questions
+    (query,) = plan.queries
     assert len(query.workers) == 3
-    workloads.note_question(query)
-    assert not workloads.make_plan(pool, now=1.1).questions
-    workloads.note_advice(query, {"w1": "t"}, now=2.0, retry_s=0.1)
+    workloads.record_query(query)
+    assert not workloads.make_plan(pool, now=1.1).queries
+    workloads.record_query_result(query, {"w1": "t"}, now=2.0, retry_s=0.1)
     (run,) = workloads.make_plan(pool, now=2.1).runs
     assert (run.worker_key, run.ticket) == ("w1@1", "t")
 
@@ -89,12 +89,12 @@
     """Guards against starts that workers reject for an expired ticket."""
     pool = _world.make_pool(1)
     _world.submit(pool, _world.make_step(), advice=ADVICE)
-    (query,) = workloads.make_plan(pool, now=1.0).questions
-    workloads.note_question(query)
-    workloads.note_advice(query, {"w0": "t"}, now=2.0, retry_s=0.1)
+    (query,) = workloads.make_plan(pool, now=1.0).queries
+    workloads.record_query(query)
+    workloads.record_query_result(query, {"w0": "t"}, now=2.0, retry_s=0.1)
     plan = workloads.make_plan(pool, now=3.95)
     assert not plan.runs
-    assert [each.report.id for each in plan.questions[0].workers] == ["w0"]
+    assert [each.report.id for each in plan.queries[0].workers] == ["w0"]
 
 
 def test_runs_of_a_job_that_is_not_stored_stay_planned() -> None:
@@ -183,9 +183,9 @@
     pool: workloads.Pool, tickets: dict[str, str], *, now: float
 ) -> tuple[str, ...]:
     """Answer the only query of a planning round; return its workers."""
-    (query,) = workloads.make_plan(pool, now=now).questions
-    workloads.note_question(query)
-    workloads.note_advice(query, tickets, now=now, retry_s=0.1)
+    (query,) = workloads.make_plan(pool, now=now).queries
+    workloads.record_query(query)
+    workloads.record_query_result(query, tickets, now=now, retry_s=0.1)
     return tuple(worker.report.id for worker in query.workers)
 
 
@@ -210,7 +210,7 @@
     pool.workers["w1@1"].quarantined_until = 1.2
     workloads.make_plan(pool, now=1.1)
     (step,) = job.advice.values()
-    step.good.clear()
+    step.tickets.clear()
     assert "w1" in _answer_query(pool, {"w1": "t"}, now=1.5)
     (run,) = workloads.make_plan(pool, now=1.6).runs
     assert run.worker_key == "w1@1"
