--- a/chestnuttide/node/_commits.py
+++ b/chestnuttide/node/_commits.py
@@ -305,7 +305,7 @@
                 and run.recorded
                 and not run.stopping
             ):
-                run.phase = workloads.Phase.ORDERED
+                run.phase = workloads.Phase.START_SENT
                 _ownership.start_command(owner, _starts.start_run(owner, run))
 
 
--- a/chestnuttide/node/_daemon.py
+++ b/chestnuttide/node/_daemon.py
@@ -345,7 +345,7 @@
     bounds = settings.bounds
     return workloads.Pool(
         service=service,
-        bounds=workloads.Bounds(
+        limits=workloads.TimeLimits(
             lease_s=min(
                 _ownership.RUN_LEASE_S, bounds.worker_lease_max_ms / 1000
             ),
--- a/chestnuttide/node/_owner.py
+++ b/chestnuttide/node/_owner.py
@@ -202,10 +202,10 @@
         default=0,
     )
     unix_time = _clock.unix_time()
-    bounds = owner.pool.bounds
+    limits = owner.pool.limits
     for job in list(owner.pool.active.values()):
         workloads.release_due_occurrences(
-            owner.pool, job, unix_time + bounds.early_s
+            owner.pool, job, unix_time + limits.early_s
         )
     for run in workloads.find_stalled(owner.pool, now=now):
         LOG.warning(
@@ -218,7 +218,7 @@
             silent_s=round(now - run.progress_at, 2),
         )
         workloads.stop_stalled(owner.pool, run, now=now)
-    moved = workloads.evacuate(owner.pool, now=now, stop_s=bounds.stop_s)
+    moved = workloads.evacuate(owner.pool, now=now, stop_s=limits.stop_s)
     for run in moved:
         LOG.info(
             "Run is moved off a draining worker.",
--- a/chestnuttide/node/_polls.py
+++ b/chestnuttide/node/_polls.py
@@ -104,7 +104,7 @@
     """
     sent_at = _clock.now()
     deadline_ms = workloads.poll_lease_deadline_ms(
-        worker, now=sent_at, lease_s=owner.pool.bounds.lease_s
+        worker, now=sent_at, lease_s=owner.pool.limits.lease_s
     )
     if deadline_ms is not None:
         workloads.record_lease(worker, deadline_ms, now=sent_at)
@@ -197,7 +197,7 @@
         _ownership.start_command(
             owner, _commands.stop_unknown_run(owner, worker, task, number)
         )
-    for run in workloads.pace_fillers(worker):
+    for run in workloads.throttle_fillers(worker):
         _ownership.start_command(
             owner, _commands.throttle_run(owner, worker, run)
         )
--- a/chestnuttide/node/_starts.py
+++ b/chestnuttide/node/_starts.py
@@ -47,7 +47,7 @@
         )
     except errors.PlatformError as error:
         if error.sent:
-            if run.phase == workloads.Phase.ORDERED:
+            if run.phase == workloads.Phase.START_SENT:
                 run.phase = workloads.Phase.UNCERTAIN
             owner.metrics.retries.inc({"reason": "start_unanswered"})
         LOG.warning(
--- a/chestnuttide/node/_updates.py
+++ b/chestnuttide/node/_updates.py
@@ -29,7 +29,7 @@
     A former owner that has not stopped may renew leases until its authority
     ends.
     """
-    until = _clock.now() + owner.pool.bounds.lease_s / _MIN_CLOCK_RATE
+    until = _clock.now() + owner.pool.limits.lease_s / _MIN_CLOCK_RATE
     if not owner.former_owner_stopped:
         until += _ownership.AUTHORITY_S
     return until
@@ -121,7 +121,7 @@
         owner.pool,
         record,
         now=_clock.now(),
-        now_unix_s=_clock.unix_time() + owner.pool.bounds.early_s,
+        now_unix_s=_clock.unix_time() + owner.pool.limits.early_s,
     )
 
 
--- a/chestnuttide/workloads/__init__.py
+++ b/chestnuttide/workloads/__init__.py
@@ -12,7 +12,6 @@
 
 Advice = _specs.Advice
 AdvisorQuery = _advisor_queries.AdvisorQuery
-Bounds = _state.Bounds
 EndedJob = _records.EndedJob
 Job = _state.Job
 JobSpec = _specs.JobSpec
@@ -26,6 +25,7 @@
 StepAdvice = _state.StepAdvice
 StepSpec = _specs.StepSpec
 TERMINAL_STATES = _state.TERMINAL_STATES
+TimeLimits = _state.TimeLimits
 Unit = _state.Unit
 UnitState = _state.UnitState
 Worker = _state.Worker
@@ -50,7 +50,6 @@
 is_usable = _planning.is_usable
 lease_deadline_ms = _poll_replies.lease_deadline_ms
 make_plan = _planning.make_plan
-pace_fillers = _supervision.pace_fillers
 poll_lease_deadline_ms = _poll_replies.poll_lease_deadline_ms
 record_clock = _poll_replies.record_clock
 record_lease = _poll_replies.record_lease
@@ -61,6 +60,7 @@
 step_of = _lifecycle.step_of
 stop_runs = _lifecycle.stop_runs
 stop_stalled = _supervision.stop_stalled
+throttle_fillers = _supervision.throttle_fillers
 update_stored_completion = _poll_replies.update_stored_completion
 update_worker = _poll_replies.update_worker
 worker_key = _state.worker_key
@@ -68,7 +68,6 @@
 __all__ = [
     "Advice",
     "AdvisorQuery",
-    "Bounds",
     "EndedJob",
     "Job",
     "JobSpec",
@@ -82,6 +81,7 @@
     "StepAdvice",
     "StepSpec",
     "TERMINAL_STATES",
+    "TimeLimits",
     "Unit",
     "UnitState",
     "Worker",
@@ -106,7 +106,6 @@
     "is_usable",
     "lease_deadline_ms",
     "make_plan",
-    "pace_fillers",
     "poll_lease_deadline_ms",
     "record_clock",
     "record_lease",
@@ -117,6 +116,7 @@
     "step_of",
     "stop_runs",
     "stop_stalled",
+    "throttle_fillers",
     "update_stored_completion",
     "update_worker",
     "worker_key",
--- a/chestnuttide/workloads/_poll_replies.py
+++ b/chestnuttide/workloads/_poll_replies.py
@@ -251,7 +251,7 @@
 
 def confirm_start(run: _state.Run, *, now: float) -> None:
     """Record that the worker has accepted a run's start."""
-    if run.phase in (_state.Phase.ORDERED, _state.Phase.UNCERTAIN):
+    if run.phase in (_state.Phase.START_SENT, _state.Phase.UNCERTAIN):
         run.phase = _state.Phase.RUNNING
         run.confirmed_at = now
         run.progress_at = now
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -37,14 +37,14 @@
 class Phase(enum.StrEnum):
     """What is known about the start of a run.
 
-    A run is PLANNED until its record is stored, ORDERED once its start
+    A run is PLANNED until its record is stored, START_SENT once its start
     command may have been sent, and RUNNING once its worker has confirmed the
     start. A run whose start was not answered is UNCERTAIN until the worker's
     poll replies or its clock show whether it runs.
     """
 
     PLANNED = "planned"
-    ORDERED = "ordered"
+    START_SENT = "ordered"
     UNCERTAIN = "uncertain"
     RUNNING = "running"
 
@@ -97,9 +97,9 @@
         Monotonic time of the last stop command.
     stop_acknowledged_at : float
         Monotonic time at which the worker answered a stop; 0 before.
-    pace_percent : int
+    speed_percent : int
         Desired speed, in percent of full speed.
-    paced_percent : int
+    confirmed_speed_percent : int
         Speed that the worker has confirmed, in percent of full speed.
     """
 
@@ -123,8 +123,8 @@
     stopping: bool = False
     stop_sent_at: float = 0.0
     stop_acknowledged_at: float = 0.0
-    pace_percent: int = 100
-    paced_percent: int = 100
+    speed_percent: int = 100
+    confirmed_speed_percent: int = 100
 
     @property
     def task(self) -> str:
@@ -385,7 +385,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class Bounds:
+class TimeLimits:
     """Time limits of the deployment, in seconds.
 
     Attributes
@@ -411,7 +411,7 @@
     ----------
     service : str
         Name of the service.
-    bounds : Bounds
+    limits : TimeLimits
         Time limits of the deployment.
     jobs : dict of str to Job
         Jobs by id, including ended ones while callers may query them.
@@ -431,7 +431,7 @@
     """
 
     service: str
-    bounds: Bounds
+    limits: TimeLimits
     jobs: dict[str, Job] = attrs.field(factory=dict)
     workers: dict[str, Worker] = attrs.field(factory=dict)
     active: dict[str, Job] = attrs.field(factory=dict)
--- a/chestnuttide/workloads/_supervision.py
+++ b/chestnuttide/workloads/_supervision.py
@@ -50,7 +50,7 @@
     if step.lasting:
         # A throttled or slowed task is not hung; only one that never served.
         return run.percent < 100 and stalled_s > STARTUP_S
-    if step.filler and run.pace_percent < 100:
+    if step.filler and run.speed_percent < 100:
         return False
     if any(each.phase != _state.Phase.RUNNING for each in run.unit.runs):
         return False
@@ -94,7 +94,7 @@
     return moved
 
 
-def pace_fillers(worker: _state.Worker) -> list[_state.Run]:
+def throttle_fillers(worker: _state.Worker) -> list[_state.Run]:
     """Throttle fillers by the latency of serving tasks on their worker.
 
     Returns
@@ -114,14 +114,18 @@
             latency_share = max(latency_share, _latency_share(run, step))
     for run in fillers:
         if latency_share >= THROTTLE_FROM_SHARE:
-            run.pace_percent = (
-                run.pace_percent // 2 if latency_share < 1.0 else 0
+            run.speed_percent = (
+                run.speed_percent // 2 if latency_share < 1.0 else 0
             )
         elif latency_share < UNTHROTTLE_BELOW_SHARE:
-            run.pace_percent = min(
-                100, run.pace_percent + UNTHROTTLE_STEP_PERCENT
+            run.speed_percent = min(
+                100, run.speed_percent + UNTHROTTLE_STEP_PERCENT
             )
-    return [run for run in fillers if run.pace_percent != run.paced_percent]
+    return [
+        run
+        for run in fillers
+        if run.speed_percent != run.confirmed_speed_percent
+    ]
 
 
 def _latency_share(run: _state.Run, step: _specs.StepSpec) -> float:
--- a/chestnuttide/workloads/tests/_world.py
+++ b/chestnuttide/workloads/tests/_world.py
@@ -34,7 +34,7 @@
 def make_pool(count: int = 2, **capacity: int) -> workloads.Pool:
     """Return a pool of workers that have been polled once at time 0."""
     pool = workloads.Pool(
-        service="workshop", bounds=workloads.Bounds(lease_s=LEASE_S)
+        service="workshop", limits=workloads.TimeLimits(lease_s=LEASE_S)
     )
     for number in range(count):
         add_worker(pool, f"w{number}", **capacity)
@@ -117,7 +117,7 @@
     """Run a planning round and confirm the start of each planned run."""
     runs = list(workloads.make_plan(pool, now=now).runs)
     for run in runs:
-        run.phase = workloads.Phase.ORDERED
+        run.phase = workloads.Phase.START_SENT
         run.deadline_ms = 10**9
         workloads.confirm_start(run, now=now)
     return runs
--- a/chestnuttide/workloads/tests/test_supervision.py
+++ b/chestnuttide/workloads/tests/test_supervision.py
@@ -77,5 +77,5 @@
     )
     serving, filler = _world.start_all(pool)
     serving.percent, serving.latency_ms_or_cpu = 100, tail_ms
-    workloads.pace_fillers(pool.workers["w0@1"])
-    assert filler.pace_percent == speed_percent
+    workloads.throttle_fillers(pool.workers["w0@1"])
+    assert filler.speed_percent == speed_percent
