--- a/chestnuttide/node/_ownership.py
+++ b/chestnuttide/node/_ownership.py
@@ -71,7 +71,7 @@
     ready : bool
         Whether the takeover is complete.
     releasing : bool
-        Whether a peer is being asked to end the ownership; no command is
+        Whether a peer is being asked to release the ownership; no command is
         sent meanwhile.
     former_owner_stopped : bool
         Whether the former owner sent its last command before this ownership
--- a/chestnuttide/node/tests/test_commits.py
+++ b/chestnuttide/node/tests/test_commits.py
@@ -10,7 +10,7 @@
 from chestnuttide.node import _ownership
 from chestnuttide import platform
 from chestnuttide import workloads
-from chestnuttide.workloads.tests import _world
+from chestnuttide.workloads.tests import _pool_fixtures
 from standins import cloud
 
 SERVICE = "workshop"
@@ -40,7 +40,7 @@
                 count=_metrics.store_counter(metrics),
             ),
             workers_http=None,
-            pool=_world.make_pool(2),
+            pool=_pool_fixtures.make_pool(2),
             metrics=metrics,
         )
         commit_task = asyncio.ensure_future(_commits.commit_loop(owner))
@@ -58,8 +58,8 @@
 
 
 def _plan_two_tasks(owner: _ownership.Ownership) -> workloads.Job:
-    job = _world.submit(owner.pool, _world.make_step(count=2))
-    _world.start_all(owner.pool)
+    job = _pool_fixtures.submit(owner.pool, _pool_fixtures.make_step(count=2))
+    _pool_fixtures.start_all(owner.pool)
     _ownership.request_commit(owner, urgent=True)
     return job
 
@@ -82,7 +82,7 @@
         assert store.lose_answers == 0
         for worker in list(owner.pool.workers.values()):
             for run in list(worker.runs.values()):
-                _world.end_of(owner.pool, run, "done")
+                _pool_fixtures.complete_run(owner.pool, run, "done")
         _ownership.request_commit(owner, urgent=True)
         # The commit with the lost answer times out after 0.7 s.
         await _until_shown(job, limit_s=0.4)
@@ -107,7 +107,7 @@
         await asyncio.sleep(0.2)
         for worker in list(owner.pool.workers.values()):
             for run in list(worker.runs.values()):
-                _world.end_of(owner.pool, run, "done")
+                _pool_fixtures.complete_run(owner.pool, run, "done")
         await asyncio.sleep(0.2)
         workers = owner.pool.workers.values()
         assert all(worker.stored_completion == 0 for worker in workers)
@@ -151,9 +151,13 @@
     async def scenario(
         owner: _ownership.Ownership, store: cloud.Store
     ) -> None:
-        first = _world.submit(owner.pool, _world.make_step(), job_id="a" * 16)
-        second = _world.submit(owner.pool, _world.make_step(), job_id="b" * 16)
-        runs = _world.start_all(owner.pool)
+        first = _pool_fixtures.submit(
+            owner.pool, _pool_fixtures.make_step(), job_id="a" * 16
+        )
+        second = _pool_fixtures.submit(
+            owner.pool, _pool_fixtures.make_step(), job_id="b" * 16
+        )
+        runs = _pool_fixtures.start_all(owner.pool)
         commit_round = asyncio.ensure_future(_commits.commit_all(owner))
         # The chunk is formed in the next iteration of the event loop, and its
         # transaction in the one after that.
@@ -175,5 +179,5 @@
 ) -> None:
     assert job.spec.id in owner.jobs_in_commit
     run = next(each for each in runs if each.job is job)
-    _world.end_of(owner.pool, run, "done")
+    _pool_fixtures.complete_run(owner.pool, run, "done")
     _ownership.request_commit(owner, urgent=True)
--- a/chestnuttide/node/tests/test_release.py
+++ b/chestnuttide/node/tests/test_release.py
@@ -10,7 +10,7 @@
 from chestnuttide.node import _peers
 from chestnuttide.node import _release
 from chestnuttide.node import _session
-from chestnuttide.workloads.tests import _world
+from chestnuttide.workloads.tests import _pool_fixtures
 
 NOT_CONNECTED = errors.PeerNotConnectedError(
     message="not connected", remedy="wait"
@@ -25,7 +25,7 @@
         session=_session.Session(settings=None, store=None, peers=None),
         store=None,
         workers_http=None,
-        pool=_world.make_pool(1),
+        pool=_pool_fixtures.make_pool(1),
         metrics=None,
     )
 
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -100,7 +100,8 @@
     speed_percent : int
         Desired speed, in percent of full speed.
     confirmed_speed_percent : int
-        Speed that the worker has confirmed, in percent of full speed.
+        Speed of the last throttle command, in percent of full speed; -1 after
+        a failed one.
     """
 
     job: "Job"
--- a/chestnuttide/workloads/tests/_world.py
+++ b/chestnuttide/workloads/tests/_pool_fixtures.py
@@ -147,7 +147,7 @@
     )
 
 
-def end_of(
+def complete_run(
     pool: workloads.Pool,
     run: workloads.Run,
     result: str,
--- a/chestnuttide/workloads/tests/test_planning.py
+++ b/chestnuttide/workloads/tests/test_planning.py
@@ -4,7 +4,7 @@
 
 from chestnuttide import model
 from chestnuttide import workloads
-from chestnuttide.workloads.tests import _world
+from chestnuttide.workloads.tests import _pool_fixtures
 
 ADVICE = workloads.Advice(decide_s=0.9, per_worker_s=0.01, validity_s=2.0)
 
@@ -33,8 +33,8 @@
     step: dict[str, object], placed: int
 ) -> None:
     """Guards against placements beyond a worker's capacity or a limit."""
-    pool = _world.make_pool(2)
-    _world.submit(pool, _world.make_step(**step))
+    pool = _pool_fixtures.make_pool(2)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step(**step))
     assert len(workloads.make_plan(pool, now=0.1).runs) == placed
     for worker in pool.workers.values():
         assert worker.used.cpu_millis <= 4000
@@ -42,11 +42,15 @@
 
 def test_a_stopping_run_still_uses_capacity() -> None:
     """Guards against a start on capacity that a stopping run still uses."""
-    pool = _world.make_pool(1)
-    first = _world.submit(pool, _world.make_step(need=_need(4000)))
-    _world.start_all(pool)
-    workloads.cancel_job(pool, first, _world.UNIX_S)
-    _world.submit(pool, _world.make_step(), job_id="00000000000000bb")
+    pool = _pool_fixtures.make_pool(1)
+    first = _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(need=_need(4000))
+    )
+    _pool_fixtures.start_all(pool)
+    workloads.cancel_job(pool, first, _pool_fixtures.UNIX_S)
+    _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(), job_id="00000000000000bb"
+    )
     assert not workloads.make_plan(pool, now=1.0).runs
 
 
@@ -63,17 +67,17 @@
 )
 def test_unusable_workers(change: dict[str, object]) -> None:
     """Guards against starts on unusable workers."""
-    pool = _world.make_pool(1)
+    pool = _pool_fixtures.make_pool(1)
     for name, value in change.items():
         setattr(pool.workers["w0@1"], name, value)
-    _world.submit(pool, _world.make_step())
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
     assert not workloads.make_plan(pool, now=1.0).runs
 
 
 def test_the_advisor_is_queried_before_a_start() -> None:
     """Guards against starts without a ticket or on a rejected worker."""
-    pool = _world.make_pool(3)
-    _world.submit(pool, _world.make_step(), advice=ADVICE)
+    pool = _pool_fixtures.make_pool(3)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step(), advice=ADVICE)
     plan = workloads.make_plan(pool, now=1.0)
     assert not plan.runs
     (query,) = plan.queries
@@ -87,8 +91,8 @@
 
 def test_an_expired_ticket_is_not_used() -> None:
     """Guards against starts that workers reject for an expired ticket."""
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step(), advice=ADVICE)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step(), advice=ADVICE)
     (query,) = workloads.make_plan(pool, now=1.0).queries
     workloads.record_query(query)
     workloads.record_query_result(query, {"w0": "t"}, now=2.0, retry_s=0.1)
@@ -99,8 +103,8 @@
 
 def test_runs_of_a_job_that_is_not_stored_stay_planned() -> None:
     """Guards against planned runs that are lost when a job is stored."""
-    pool = _world.make_pool(1)
-    job = _world.submit(pool, _world.make_step())
+    pool = _pool_fixtures.make_pool(1)
+    job = _pool_fixtures.submit(pool, _pool_fixtures.make_step())
     job.accepted = False
     (run,) = workloads.make_plan(pool, now=1.0).runs
     assert run.phase == workloads.Phase.PLANNED
@@ -108,24 +112,27 @@
 
 def test_a_large_task_is_not_overtaken_by_less_urgent_ones() -> None:
     """Guards against large tasks that are starved by small ones."""
-    pool = _world.make_pool(1)
+    pool = _pool_fixtures.make_pool(1)
     pool.top_priority = 1
-    small = _world.submit(
-        pool, _world.make_step(count=2), job_id="00000000000000b1", priority=2
+    small = _pool_fixtures.submit(
+        pool,
+        _pool_fixtures.make_step(count=2),
+        job_id="00000000000000b1",
+        priority=2,
     )
-    runs = _world.start_all(pool)
-    _world.submit(
+    runs = _pool_fixtures.start_all(pool)
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(need=_need(4000)),
+        _pool_fixtures.make_step(need=_need(4000)),
         job_id="00000000000000b2",
         priority=1,
     )
-    _world.submit(
-        pool, _world.make_step(), job_id="00000000000000b3", priority=2
+    _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(), job_id="00000000000000b3", priority=2
     )
     assert not workloads.make_plan(pool, now=1.0).runs
     for run in runs:
-        _world.end_of(pool, run, "done")
+        _pool_fixtures.complete_run(pool, run, "done")
     assert small.state == workloads.JobState.COMPLETE
     (run,) = workloads.make_plan(pool, now=2.0).runs
     assert run.job.spec.id == "00000000000000b2"
@@ -143,13 +150,13 @@
     used_cpu: int, priority: int, placed: int
 ) -> None:
     """Guards against urgent work that waits, and against idle workers."""
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step(need=_need(used_cpu)))
-    _world.start_all(pool)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step(need=_need(used_cpu)))
+    _pool_fixtures.start_all(pool)
     rest = 4000 - used_cpu - 100
-    _world.submit(
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(need=_need(rest)),
+        _pool_fixtures.make_step(need=_need(rest)),
         job_id="00000000000000bb",
         priority=priority,
     )
@@ -158,23 +165,26 @@
 
 def test_a_failed_unit_avoids_its_worker() -> None:
     """Guards against all attempts being used up on one faulty worker."""
-    pool = _world.make_pool(2)
-    _world.submit(pool, _world.make_step())
-    (run,) = _world.start_all(pool)
-    _world.end_of(pool, run, "failed")
-    (again,) = _world.start_all(pool, now=3.0)
+    pool = _pool_fixtures.make_pool(2)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
+    (run,) = _pool_fixtures.start_all(pool)
+    _pool_fixtures.complete_run(pool, run, "failed")
+    (again,) = _pool_fixtures.start_all(pool, now=3.0)
     assert again.worker_key != run.worker_key
 
 
 def test_a_worker_that_fails_several_jobs_is_quarantined() -> None:
     """Guards against a faulty worker that attracts work as it looks idle."""
-    pool = _world.make_pool(1)
+    pool = _pool_fixtures.make_pool(1)
     for number in range(3):
-        _world.submit(
-            pool, _world.make_step(), job_id=f"{number:016x}", attempt_limit=9
+        _pool_fixtures.submit(
+            pool,
+            _pool_fixtures.make_step(),
+            job_id=f"{number:016x}",
+            attempt_limit=9,
         )
-    for run in _world.start_all(pool):
-        _world.end_of(pool, run, "failed")
+    for run in _pool_fixtures.start_all(pool):
+        _pool_fixtures.complete_run(pool, run, "failed")
     assert not workloads.make_plan(pool, now=3.0).runs
     assert workloads.make_plan(pool, now=20.0).runs
 
@@ -195,16 +205,19 @@
     The first query names only a limited number of workers, and the allowed
     one is then filled by more urgent work.
     """
-    pool = _world.make_pool(2)
+    pool = _pool_fixtures.make_pool(2)
     pool.workers["w1@1"].consecutive_failures = 5
     narrow = workloads.Advice(decide_s=0.1, per_worker_s=0.05, validity_s=2.0)
-    job = _world.submit(
-        pool, _world.make_step(need=_need(3000)), advice=narrow, priority=1
+    job = _pool_fixtures.submit(
+        pool,
+        _pool_fixtures.make_step(need=_need(3000)),
+        advice=narrow,
+        priority=1,
     )
     assert _answer_query(pool, {"w0": "t"}, now=1.0) == ("w0",)
-    _world.submit(
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(count=2, need=_need(1500), label="r1-1"),
+        _pool_fixtures.make_step(count=2, need=_need(1500), label="r1-1"),
         job_id="00000000000000bb",
     )
     pool.workers["w1@1"].quarantined_until = 1.2
@@ -218,16 +231,16 @@
 
 def test_long_running_tasks_are_placed_before_urgent_ones() -> None:
     """Guards against a long-running task that stays down on a full service."""
-    pool = _world.make_pool(1)
-    _world.submit(
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(need=_need(4000)),
+        _pool_fixtures.make_step(need=_need(4000)),
         job_id="00000000000000b1",
         priority=0,
     )
-    _world.submit(
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(need=_need(4000), lasting=True),
+        _pool_fixtures.make_step(need=_need(4000), lasting=True),
         job_id="00000000000000b2",
         priority=1,
     )
@@ -250,21 +263,21 @@
     The advisor allowed a gang too few workers. A job for which it allowed
     only one of these workers waited until the end of the day.
     """
-    pool = _world.make_pool(2)
-    _world.submit(
+    pool = _pool_fixtures.make_pool(2)
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(need=_need(4000), lasting=True),
+        _pool_fixtures.make_step(need=_need(4000), lasting=True),
         job_id="00000000000000a1",
         attempt_limit=9,
     )
-    _world.start_all(pool)
-    _world.submit(
+    _pool_fixtures.start_all(pool)
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(need=_need(4000), count=width, gang=True),
+        _pool_fixtures.make_step(need=_need(4000), count=width, gang=True),
         job_id="00000000000000b1",
     )
-    _world.submit(
-        pool, _world.make_step(), job_id="00000000000000b2", priority=1
+    _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(), job_id="00000000000000b2", priority=1
     )
     assert len(workloads.make_plan(pool, now=1.0).runs) == placed
 
@@ -284,18 +297,20 @@
     A worker stayed reserved for a large task until the end of the day, and a
     small task for which only this worker was allowed could not start.
     """
-    pool = _world.make_pool(3)
+    pool = _pool_fixtures.make_pool(3)
     for key in ("w1@1", "w2@1"):
         pool.workers[key].quarantined_until = 99.0
-    _world.submit(pool, _world.make_step(), job_id="00000000000000a1")
-    _world.start_all(pool)
-    _world.submit(
+    _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(), job_id="00000000000000a1"
+    )
+    _pool_fixtures.start_all(pool)
+    _pool_fixtures.submit(
         pool,
-        _world.make_step(need=_need(4000)),
+        _pool_fixtures.make_step(need=_need(4000)),
         job_id="00000000000000b1",
     )
-    _world.submit(
-        pool, _world.make_step(), job_id="00000000000000b2", priority=1
+    _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(), job_id="00000000000000b2", priority=1
     )
     workloads.make_plan(pool, now=0.9)
     assert len(workloads.make_plan(pool, now=now).runs) == placed
--- a/chestnuttide/workloads/tests/test_poll_replies.py
+++ b/chestnuttide/workloads/tests/test_poll_replies.py
@@ -4,11 +4,11 @@
 import pytest
 
 from chestnuttide import workloads
-from chestnuttide.workloads.tests import _world
+from chestnuttide.workloads.tests import _pool_fixtures
 
 
 def _make_uncertain_run(pool: workloads.Pool) -> workloads.Run:
-    _world.submit(pool, _world.make_step())
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
     (run,) = workloads.make_plan(pool, now=0.1).runs
     run.phase = workloads.Phase.UNCERTAIN
     run.deadline_ms = 5000
@@ -33,11 +33,11 @@
     replanned: bool,
 ) -> None:
     """Guards against a second run while a late start may take effect."""
-    pool = _world.make_pool(1)
+    pool = _pool_fixtures.make_pool(1)
     run = _make_uncertain_run(pool)
     run.stop_acknowledged_at = stop_acknowledged_at
-    rows = (_world.RunReport(task=run.task, run=1),) if listed else ()
-    _world.apply_reply(
+    rows = (_pool_fixtures.RunReport(task=run.task, run=1),) if listed else ()
+    _pool_fixtures.apply_reply(
         pool,
         run.worker_key,
         running=rows,
@@ -60,10 +60,10 @@
     sent_at: float, lost: bool
 ) -> None:
     """Guards against a second run when replies arrive out of order."""
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step())
-    (run,) = _world.start_all(pool, now=0.1)
-    ended = _world.apply_reply(pool, run.worker_key, sent_at=sent_at)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
+    (run,) = _pool_fixtures.start_all(pool, now=0.1)
+    ended = _pool_fixtures.apply_reply(pool, run.worker_key, sent_at=sent_at)
     assert bool(ended) == lost
 
 
@@ -81,17 +81,17 @@
     now: float, expired: bool
 ) -> None:
     """Guards against a second run while a cut-off worker may still run it."""
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step())
-    (run,) = _world.start_all(pool)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
+    (run,) = _pool_fixtures.start_all(pool)
     worker = pool.workers[run.worker_key]
     deadline = workloads.lease_deadline_ms(
-        worker, now=0.5, lease_s=_world.LEASE_S
+        worker, now=0.5, lease_s=_pool_fixtures.LEASE_S
     )
     assert deadline == 4000
     workloads.record_lease(worker, deadline, now=0.5)
     runs = workloads.expire_worker_lease(
-        pool, worker, now=now, now_unix_s=_world.UNIX_S
+        pool, worker, now=now, now_unix_s=_pool_fixtures.UNIX_S
     )
     assert bool(runs) == expired
 
@@ -112,13 +112,13 @@
     LOST at the end of the day: mix --seed 511913586748 of gnomon-coop and
     mix --seed 992292016307 of voicecast.
     """
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step())
-    _world.start_all(pool)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
+    _pool_fixtures.start_all(pool)
     worker = pool.workers["w0@1"]
     worker.failed_polls = failed_polls
     deadline = workloads.poll_lease_deadline_ms(
-        worker, now=1.0, lease_s=_world.LEASE_S
+        worker, now=1.0, lease_s=_pool_fixtures.LEASE_S
     )
     assert (deadline is not None) == renewed
 
@@ -129,14 +129,16 @@
     The record of a job that ended just before does not contain its runs.
     They are still being stopped and use an unknown amount of capacity.
     """
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step())
-    _world.apply_reply(
-        pool, "w0@1", running=(_world.RunReport(task="x.0.0.0", run=3),)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
+    _pool_fixtures.apply_reply(
+        pool,
+        "w0@1",
+        running=(_pool_fixtures.RunReport(task="x.0.0.0", run=3),),
     )
     assert pool.unknown_runs == {"w0@1": {("x.0.0.0", 3)}}
     assert not workloads.make_plan(pool, now=2.0).runs
-    _world.apply_reply(pool, "w0@1", sent_at=2.0)
+    _pool_fixtures.apply_reply(pool, "w0@1", sent_at=2.0)
     assert workloads.make_plan(pool, now=3.0).runs
 
 
@@ -152,26 +154,26 @@
     listed: str, state: workloads.UnitState
 ) -> None:
     """Guards against a second run of a task that the former owner started."""
-    former = _world.make_pool(1)
-    job = _world.submit(former, _world.make_step())
-    (run,) = _world.start_all(former)
+    former = _pool_fixtures.make_pool(1)
+    job = _pool_fixtures.submit(former, _pool_fixtures.make_step())
+    (run,) = _pool_fixtures.start_all(former)
     record = workloads.encode_progress(job)
-    pool = _world.make_pool(1)
-    job = _world.submit(pool, _world.make_step())
+    pool = _pool_fixtures.make_pool(1)
+    job = _pool_fixtures.submit(pool, _pool_fixtures.make_step())
     workloads.apply_progress(
         pool,
         job,
         record,
         lease_until=20.0,
         now=5.0,
-        now_unix_s=_world.UNIX_S,
+        now_unix_s=_pool_fixtures.UNIX_S,
     )
     assert not workloads.make_plan(pool, now=5.0).runs
-    row = _world.RunReport(task=run.task, run=1)
-    completion = _world.Completion(
+    row = _pool_fixtures.RunReport(task=run.task, run=1)
+    completion = _pool_fixtures.Completion(
         number=1, task=run.task, run=1, result="done"
     )
-    _world.apply_reply(
+    _pool_fixtures.apply_reply(
         pool,
         "w0@1",
         running=(row,) if listed == "running" else (),
@@ -185,28 +187,28 @@
 
 def test_a_new_owner_waits_for_a_worker_that_it_cannot_reach() -> None:
     """Guards against a second run of a task on an unlisted worker."""
-    former = _world.make_pool(1)
-    job = _world.submit(former, _world.make_step())
-    _world.start_all(former)
+    former = _pool_fixtures.make_pool(1)
+    job = _pool_fixtures.submit(former, _pool_fixtures.make_step())
+    _pool_fixtures.start_all(former)
     record = workloads.encode_progress(job)
-    pool = _world.make_pool(0)
-    _world.add_worker(pool, "other")
-    job = _world.submit(pool, _world.make_step())
+    pool = _pool_fixtures.make_pool(0)
+    _pool_fixtures.add_worker(pool, "other")
+    job = _pool_fixtures.submit(pool, _pool_fixtures.make_step())
     workloads.apply_progress(
         pool,
         job,
         record,
         lease_until=20.0,
         now=5.0,
-        now_unix_s=_world.UNIX_S,
+        now_unix_s=_pool_fixtures.UNIX_S,
     )
     placeholder = pool.workers["w0@1"]
     assert not workloads.expire_worker_lease(
-        pool, placeholder, now=19.9, now_unix_s=_world.UNIX_S
+        pool, placeholder, now=19.9, now_unix_s=_pool_fixtures.UNIX_S
     )
     assert not workloads.make_plan(pool, now=19.9).runs
     workloads.expire_worker_lease(
-        pool, placeholder, now=20.1, now_unix_s=_world.UNIX_S
+        pool, placeholder, now=20.1, now_unix_s=_pool_fixtures.UNIX_S
     )
     (run,) = workloads.make_plan(pool, now=20.2).runs
     assert (run.number, run.worker_key) == (2, "other@1")
@@ -237,22 +239,24 @@
     The worker restarted under its id after it was chosen and before the
     start arrived, and the task ran twice at once (seed 1014 of the soak).
     """
-    pool = _world.make_pool(1)
-    job = _world.submit(pool, _world.make_step())
-    (run,) = _world.start_all(pool)
+    pool = _pool_fixtures.make_pool(1)
+    job = _pool_fixtures.submit(pool, _pool_fixtures.make_step())
+    (run,) = _pool_fixtures.start_all(pool)
     former = pool.workers["w0@1"]
     if listed:
-        row = _world.RunReport(task=run.task, run=run.number)
-        _world.apply_reply(pool, "w0@1", running=(row,))
+        row = _pool_fixtures.RunReport(task=run.task, run=run.number)
+        _pool_fixtures.apply_reply(pool, "w0@1", running=(row,))
     moved = workloads.start_incarnation(pool, former, 2)
-    workloads.end_incarnation(pool, former, now=2.0, now_unix_s=_world.UNIX_S)
+    workloads.end_incarnation(
+        pool, former, now=2.0, now_unix_s=_pool_fixtures.UNIX_S
+    )
     assert bool(moved) is not listed
     if seen == "rejected":
         run.stop_acknowledged_at = 2.5
     if seen:
-        row = _world.RunReport(task=run.task, run=run.number)
+        row = _pool_fixtures.RunReport(task=run.task, run=run.number)
         running = (row,) if seen == "runs" else ()
-        _world.apply_reply(pool, "w0@2", running=running, sent_at=3.0)
+        _pool_fixtures.apply_reply(pool, "w0@2", running=running, sent_at=3.0)
     (unit,) = job.units.values()
     assert unit.state == state
     assert len(unit.runs) == (state == workloads.UnitState.ACTIVE)
@@ -260,14 +264,17 @@
 
 def test_an_unanswered_start_is_kept_for_the_next_incarnation() -> None:
     """Guards against a late start at a worker that has restarted."""
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step())
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
     (run,) = workloads.make_plan(pool, now=0.1).runs
     run.phase = workloads.Phase.UNCERTAIN
     worker = pool.workers["w0@1"]
     worker.failed_polls = 3
     workloads.expire_worker_lease(
-        pool, worker, now=worker.lease_until + 1, now_unix_s=_world.UNIX_S
+        pool,
+        worker,
+        now=worker.lease_until + 1,
+        now_unix_s=_pool_fixtures.UNIX_S,
     )
     assert pool.unanswered_starts == {"w0": {run.key}}
 
@@ -278,14 +285,16 @@
     Starts for the former incarnation reached the new one, which the owner
     took for empty (seed 1009 of the soak).
     """
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step(count=3))
-    _world.start_all(pool)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step(count=3))
+    _pool_fixtures.start_all(pool)
     report = attrs.evolve(pool.workers["w0@1"].report, born_ms=2)
     worker = workloads.update_worker(pool, report, now=1.0, lease_until=9.0)
     (former,) = workloads.former_incarnations(pool, report)
     workloads.start_incarnation(pool, former, 2)
-    workloads.end_incarnation(pool, former, now=1.0, now_unix_s=_world.UNIX_S)
+    workloads.end_incarnation(
+        pool, former, now=1.0, now_unix_s=_pool_fixtures.UNIX_S
+    )
     assert worker.used.cpu_millis == 3000
     assert workloads.former_incarnations(pool, report) == []
 
@@ -305,7 +314,7 @@
     A poll for the former incarnation acknowledged the first completions of
     the new one, and the tasks ran again (seed 1010 of the soak).
     """
-    pool = _world.make_pool(1)
+    pool = _pool_fixtures.make_pool(1)
     worker = pool.workers["w0@1"]
     worker.stored_completion = 7
     worker.failed_polls = failed_polls
@@ -330,14 +339,16 @@
     job's change that contained it was superseded by the end of the job, which
     was not yet stored when all instances were killed.
     """
-    pool = _world.make_pool(1)
+    pool = _pool_fixtures.make_pool(1)
     jobs = [
-        _world.submit(pool, _world.make_step(count=2), job_id=f"{n:016x}")
+        _pool_fixtures.submit(
+            pool, _pool_fixtures.make_step(count=2), job_id=f"{n:016x}"
+        )
         for n in (1, 2)
     ]
-    runs = _world.start_all(pool)
+    runs = _pool_fixtures.start_all(pool)
     for job in jobs:
-        _world.end_of(
+        _pool_fixtures.complete_run(
             pool, next(run for run in runs if run.job is job), "done"
         )
     for job, is_stored in zip(jobs, stored, strict=True):
@@ -348,7 +359,7 @@
 
 
 @pytest.mark.parametrize(
-    ("stored", "listed", "finished"),
+    ("stored", "listed", "removable"),
     [
         pytest.param(False, False, False, id="completion-is-not-stored"),
         pytest.param(True, False, True, id="completion-is-stored"),
@@ -356,7 +367,7 @@
     ],
 )
 def test_a_worker_is_kept_until_its_completions_are_stored(
-    stored: bool, listed: bool, finished: bool
+    stored: bool, listed: bool, removable: bool
 ) -> None:
     """Guards against done tasks that run again once a worker is listed again.
 
@@ -364,12 +375,12 @@
     unanswered. The worker was removed from the pool together with its
     unstored completion, which was acknowledged later (hunts on voicecast).
     """
-    pool = _world.make_pool(1)
-    job = _world.submit(pool, _world.make_step(count=1))
-    (run,) = _world.start_all(pool)
-    _world.end_of(pool, run, "done")
+    pool = _pool_fixtures.make_pool(1)
+    job = _pool_fixtures.submit(pool, _pool_fixtures.make_step(count=1))
+    (run,) = _pool_fixtures.start_all(pool)
+    _pool_fixtures.complete_run(pool, run, "done")
     worker = pool.workers["w0@1"]
     worker.listed = listed
     job.stored_change = job.change if stored else 0
     workloads.update_stored_completion(worker)
-    assert workloads.is_removable(worker) is finished
+    assert workloads.is_removable(worker) is removable
--- a/chestnuttide/workloads/tests/test_properties.py
+++ b/chestnuttide/workloads/tests/test_properties.py
@@ -8,7 +8,7 @@
 
 from chestnuttide import model
 from chestnuttide import workloads
-from chestnuttide.workloads.tests import _world
+from chestnuttide.workloads.tests import _pool_fixtures
 
 COMPLETIONS = ("done", "done", "done", "failed", "stopped", "lapsed")
 
@@ -92,12 +92,14 @@
 ) -> None:
     """Guards against violated capacity, dependencies, attempts and counts."""
     rng = random.Random(seed)
-    pool = _world.make_pool(3)
+    pool = _pool_fixtures.make_pool(3)
     for number, steps in enumerate(jobs):
-        _world.submit(
+        _pool_fixtures.submit(
             pool,
             *(
-                _world.make_step(**fields, after=(index - 1,) if index else ())
+                _pool_fixtures.make_step(
+                    **fields, after=(index - 1,) if index else ()
+                )
                 for index, fields in enumerate(steps)
             ),
             job_id=f"{number:016x}",
@@ -108,7 +110,7 @@
         now += 1.0
         event = rng.choice(("plan", "plan", "end", "end", "end", "cancel"))
         if event == "plan":
-            _world.start_all(pool, now=now)
+            _pool_fixtures.start_all(pool, now=now)
         elif event == "end":
             runs = [
                 run
@@ -118,9 +120,9 @@
             if runs:
                 run = rng.choice(runs)
                 result = "stopped" if run.stopping else rng.choice(COMPLETIONS)
-                _world.end_of(pool, run, result)
+                _pool_fixtures.complete_run(pool, run, result)
         elif rng.random() < 0.3:
             job = rng.choice(list(pool.jobs.values()))
-            workloads.cancel_job(pool, job, _world.UNIX_S)
+            workloads.cancel_job(pool, job, _pool_fixtures.UNIX_S)
         _check_counts(pool)
         _check_invariants(pool)
--- a/chestnuttide/workloads/tests/test_supervision.py
+++ b/chestnuttide/workloads/tests/test_supervision.py
@@ -4,7 +4,7 @@
 import pytest
 
 from chestnuttide import workloads
-from chestnuttide.workloads.tests import _world
+from chestnuttide.workloads.tests import _pool_fixtures
 
 
 @pytest.mark.parametrize(
@@ -20,9 +20,9 @@
     progress_at: float, percent: float, last_reply_at: float, stalled: bool
 ) -> None:
     """Guards against hung tasks that run on and slow ones that are stopped."""
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step())
-    (run,) = _world.start_all(pool, now=0.5)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step())
+    (run,) = _pool_fixtures.start_all(pool, now=0.5)
     run.progress_at = progress_at
     run.percent = percent
     pool.workers[run.worker_key].last_reply_at = last_reply_at
@@ -42,9 +42,9 @@
     step: dict[str, bool], now: float, moves: bool
 ) -> None:
     """Guards against work that is lost when a worker leaves."""
-    pool = _world.make_pool(1)
-    _world.submit(pool, _world.make_step(**step))
-    (run,) = _world.start_all(pool)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(pool, _pool_fixtures.make_step(**step))
+    (run,) = _pool_fixtures.start_all(pool)
     worker = pool.workers[run.worker_key]
     workloads.update_worker(
         pool,
@@ -68,14 +68,14 @@
     tail_ms: float, speed_percent: int
 ) -> None:
     """Guards against fillers that keep a serving task over its target."""
-    pool = _world.make_pool(1)
-    _world.submit(
-        pool, _world.make_step(lasting=True, latency_target_ms=100.0)
+    pool = _pool_fixtures.make_pool(1)
+    _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(lasting=True, latency_target_ms=100.0)
     )
-    _world.submit(
-        pool, _world.make_step(filler=True), job_id="00000000000000bb"
+    _pool_fixtures.submit(
+        pool, _pool_fixtures.make_step(filler=True), job_id="00000000000000bb"
     )
-    serving, filler = _world.start_all(pool)
+    serving, filler = _pool_fixtures.start_all(pool)
     serving.percent, serving.latency_ms_or_cpu = 100, tail_ms
     workloads.throttle_fillers(pool.workers["w0@1"])
     assert filler.speed_percent == speed_percent
