--- a/chestnuttide/node/_commands.py
+++ b/chestnuttide/node/_commands.py
@@ -70,7 +70,7 @@
         why=reason,
         runs=len(worker.runs),
     )
-    lost = workloads.end_lifetime(
+    lost = workloads.end_incarnation(
         owner.pool,
         worker,
         now=_clock.now(),
@@ -85,7 +85,7 @@
 def handle_rejection(
     owner: _ownership.Ownership,
     worker: workloads.Worker,
-    reply: platform.OrderReply,
+    reply: platform.CommandReply,
     kind: str,
 ) -> None:
     owner.metrics.commands.inc(
@@ -153,7 +153,7 @@
             worker_address(worker),
             task=task,
             run=number,
-            fence=owner.fencing_token,
+            fencing_token=owner.fencing_token,
             timeout_s=COMMAND_TIMEOUT_S,
             may_send=lambda: _ownership.may_send_commands(owner),
         )
@@ -188,22 +188,22 @@
     worker: workloads.Worker,
     run: workloads.Run,
 ) -> None:
-    percent = run.pace_percent
-    run.paced_percent = percent
+    percent = run.speed_percent
+    run.confirmed_speed_percent = percent
     try:
-        reply = await platform.pace_run(
+        reply = await platform.throttle_run(
             owner.workers_http,
             worker_address(worker),
             task=run.task,
             run=run.number,
             percent=percent,
-            fence=owner.fencing_token,
+            fencing_token=owner.fencing_token,
             timeout_s=COMMAND_TIMEOUT_S,
             may_send=lambda: _ownership.may_send_commands(owner),
         )
     except errors.PlatformError as error:
         # Resent after the next poll.
-        run.paced_percent = -1
+        run.confirmed_speed_percent = -1
         LOG.info(
             "Throttle command was not answered.",
             task=run.task,
@@ -218,5 +218,5 @@
         status=reply.status,
     )
     if reply.status != 200:
-        run.paced_percent = -1
+        run.confirmed_speed_percent = -1
         handle_rejection(owner, worker, reply, "pace")
--- a/chestnuttide/node/_starts.py
+++ b/chestnuttide/node/_starts.py
@@ -28,7 +28,7 @@
         worker, now=now, lease_s=START_LEASE_S
     )
     run.deadline_ms = deadline_ms
-    workloads.note_grant(worker, deadline_ms, now=now)
+    workloads.record_lease(worker, deadline_ms, now=now)
     try:
         reply = await platform.start_run(
             owner.workers_http,
@@ -37,7 +37,7 @@
             run=run.number,
             payload=run.job.spec.payload,
             deadline_ms=deadline_ms,
-            fence=owner.fencing_token,
+            fencing_token=owner.fencing_token,
             checkpoint=run.checkpoint,
             ticket=run.ticket,
             timeout_s=_commands.COMMAND_TIMEOUT_S,
@@ -47,7 +47,7 @@
         )
     except errors.PlatformError as error:
         if error.sent:
-            if run.phase == workloads.Phase.ORDERED:
+            if run.phase == workloads.Phase.START_SENT:
                 run.phase = workloads.Phase.UNCERTAIN
             owner.metrics.retries.inc({"reason": "start_unanswered"})
         LOG.warning(
@@ -94,11 +94,11 @@
     owner: _ownership.Ownership,
     worker: workloads.Worker,
     run: workloads.Run,
-    reply: platform.OrderReply,
+    reply: platform.CommandReply,
 ) -> None:
     now = _clock.now()
     if reply.clock_ms is not None:
-        workloads.note_clock(worker, reply.clock_ms, now)
+        workloads.record_clock(worker, reply.clock_ms, now)
     if reply.status == 200:
         first = not run.job.started
         workloads.confirm_start(run, now=now)
@@ -123,7 +123,7 @@
     if reply.reason == "ticket":
         step = run.job.advice.get(run.unit.key[:2])
         if step is not None:
-            step.good.pop(worker.key, None)
+            step.tickets.pop(worker.key, None)
     if reply.reason == "room":
         run.unit.avoided.add(worker.key)
     if reply.reason != "fence":
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -37,14 +37,14 @@
 class Phase(enum.StrEnum):
     """What is known about the start of a run.
 
-    A run is PLANNED until its record is stored, ORDERED once its start
+    A run is PLANNED until its record is stored, START_SENT once its start
     command may have been sent, and RUNNING once its worker has confirmed the
     start. A run whose start was not answered is UNCERTAIN until the worker's
     poll replies or its clock show whether it runs.
     """
 
     PLANNED = "planned"
-    ORDERED = "ordered"
+    START_SENT = "ordered"
     UNCERTAIN = "uncertain"
     RUNNING = "running"
 
@@ -86,7 +86,7 @@
     deadline_ms : int
         Expiry of the start's lease on the worker's clock; 0 before it is
         sent.
-    percent, measure : float
+    percent, latency_ms_or_cpu : float
         Progress and the measured latency or processor use, as the worker
         last listed them.
     progress_at : float
@@ -97,10 +97,11 @@
         Monotonic time of the last stop command.
     stop_acknowledged_at : float
         Monotonic time at which the worker answered a stop; 0 before.
-    pace_percent : int
+    speed_percent : int
         Desired speed, in percent of full speed.
-    paced_percent : int
-        Speed that the worker has confirmed, in percent of full speed.
+    confirmed_speed_percent : int
+        Speed of the last throttle command, in percent of full speed; -1 after
+        a failed one.
     """
 
     job: "Job"
@@ -118,13 +119,13 @@
     confirmed_at: float = 0.0
     deadline_ms: int = 0
     percent: float = 0.0
-    measure: float = 0.0
+    latency_ms_or_cpu: float = 0.0
     progress_at: float = 0.0
     stopping: bool = False
     stop_sent_at: float = 0.0
     stop_acknowledged_at: float = 0.0
-    pace_percent: int = 100
-    paced_percent: int = 100
+    speed_percent: int = 100
+    confirmed_speed_percent: int = 100
 
     @property
     def task(self) -> str:
@@ -188,7 +189,7 @@
 
     Attributes
     ----------
-    good : dict of str to (str, float)
+    tickets : dict of str to (str, float)
         Ticket and the monotonic time of its expiry, by worker incarnation.
     allowed : dict of str to bool
         Whether a worker incarnation may run the step; does not change.
@@ -198,7 +199,7 @@
         Monotonic time before which no further query is sent.
     """
 
-    good: dict[str, tuple[str, float]] = attrs.field(factory=dict)
+    tickets: dict[str, tuple[str, float]] = attrs.field(factory=dict)
     allowed: dict[str, bool] = attrs.field(factory=dict)
     in_flight: set[str] = attrs.field(factory=set)
     retry_at: float = 0.0
@@ -327,7 +328,7 @@
         Number of filler runs, and of runs with a latency target.
     step_runs : dict of (str, int, int) to int
         Number of runs by job, occurrence and step.
-    seen_at : float
+    last_reply_at : float
         Monotonic time of the last poll reply to this owner; 0 before the
         first.
     clock_ms, clock_at : int, float or None
@@ -336,11 +337,11 @@
     lease_until : float
         Monotonic time by which all its runs have ended unless its lease is
         renewed.
-    highest_end : int
+    last_completion : int
         Number of the last completion that was applied to its job.
     unstored : deque of UnstoredCompletion
         Completions that may not be acknowledged yet, in sequence.
-    stored_end : int
+    stored_completion : int
         Number of the last completion that is stored and may be acknowledged.
     listed : bool
         Whether the store lists it.
@@ -354,7 +355,7 @@
         Stalled runs since the last success.
     draining_since : float
         Monotonic time at which it was first seen draining; 0 before.
-    failed_looks : int
+    failed_polls : int
         Failed polls since the last reply.
     """
 
@@ -366,26 +367,26 @@
     fillers: int = 0
     serving: int = 0
     step_runs: dict[tuple[str, int, int], int] = attrs.field(factory=dict)
-    seen_at: float = 0.0
+    last_reply_at: float = 0.0
     clock_ms: int = 0
     clock_at: float | None = None
     lease_until: float = 0.0
-    highest_end: int = 0
+    last_completion: int = 0
     unstored: collections.deque[UnstoredCompletion] = attrs.field(
         factory=collections.deque
     )
-    stored_end: int = 0
+    stored_completion: int = 0
     listed: bool = True
     consecutive_failures: int = 0
     failed_jobs: set[str] = attrs.field(factory=set)
     quarantined_until: float = 0.0
     stalls: int = 0
     draining_since: float = 0.0
-    failed_looks: int = 0
+    failed_polls: int = 0
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class Bounds:
+class TimeLimits:
     """Time limits of the deployment, in seconds.
 
     Attributes
@@ -411,7 +412,7 @@
     ----------
     service : str
         Name of the service.
-    bounds : Bounds
+    limits : TimeLimits
         Time limits of the deployment.
     jobs : dict of str to Job
         Jobs by id, including ended ones while callers may query them.
@@ -431,7 +432,7 @@
     """
 
     service: str
-    bounds: Bounds
+    limits: TimeLimits
     jobs: dict[str, Job] = attrs.field(factory=dict)
     workers: dict[str, Worker] = attrs.field(factory=dict)
     active: dict[str, Job] = attrs.field(factory=dict)
--- a/chestnuttide/workloads/tests/_world.py
+++ b/chestnuttide/workloads/tests/_pool_fixtures.py
@@ -10,31 +10,31 @@
 
 
 @attrs.frozen(kw_only=True)
-class RunRow:
+class RunReport:
     """A run that a worker lists as running."""
 
     task: str
     run: int
     checkpoint: str = ""
     percent: float = 0.0
-    measure: float = 0.0
+    latency_ms_or_cpu: float = 0.0
 
 
 @attrs.frozen(kw_only=True)
-class CompletionRow:
+class Completion:
     """A completion that a worker lists."""
 
     number: int
     task: str
     run: int
-    how: str
+    result: str
     checkpoint: str = ""
 
 
 def make_pool(count: int = 2, **capacity: int) -> workloads.Pool:
     """Return a pool of workers that have been polled once at time 0."""
     pool = workloads.Pool(
-        service="workshop", bounds=workloads.Bounds(lease_s=LEASE_S)
+        service="workshop", limits=workloads.TimeLimits(lease_s=LEASE_S)
     )
     for number in range(count):
         add_worker(pool, f"w{number}", **capacity)
@@ -65,8 +65,8 @@
     worker = workloads.update_worker(
         pool, report, now=0.0, lease_until=LEASE_S
     )
-    worker.seen_at = 0.001
-    workloads.note_clock(worker, 1000, 0.0)
+    worker.last_reply_at = 0.001
+    workloads.record_clock(worker, 1000, 0.0)
     return worker
 
 
@@ -117,7 +117,7 @@
     """Run a planning round and confirm the start of each planned run."""
     runs = list(workloads.make_plan(pool, now=now).runs)
     for run in runs:
-        run.phase = workloads.Phase.ORDERED
+        run.phase = workloads.Phase.START_SENT
         run.deadline_ms = 10**9
         workloads.confirm_start(run, now=now)
     return runs
@@ -127,16 +127,16 @@
     pool: workloads.Pool,
     worker_key: str,
     *,
-    running: tuple[RunRow, ...] = (),
-    ended: tuple[CompletionRow, ...] = (),
+    running: tuple[RunReport, ...] = (),
+    ended: tuple[Completion, ...] = (),
     sent_at: float = 1.0,
     clock_ms: int = 2000,
 ) -> list[tuple[workloads.Run, str]]:
     """Apply a poll reply of a worker."""
-    return workloads.apply_look(
+    return workloads.apply_poll_reply(
         pool,
         pool.workers[worker_key],
-        workloads.Observation(
+        workloads.PollReply(
             clock_ms=clock_ms,
             running=running,
             ended=ended,
@@ -147,10 +147,10 @@
     )
 
 
-def end_of(
+def complete_run(
     pool: workloads.Pool,
     run: workloads.Run,
-    how: str,
+    result: str,
     *,
     sent_at: float = 1.0,
     checkpoint: str = "",
@@ -158,15 +158,15 @@
     """Apply a poll reply that lists a run as ended, all others as running."""
     worker = pool.workers[run.worker_key]
     others = tuple(
-        RunRow(task=other.task, run=other.number)
+        RunReport(task=other.task, run=other.number)
         for other in worker.runs.values()
         if other is not run
     )
-    completion = CompletionRow(
-        number=worker.highest_end + 1,
+    completion = Completion(
+        number=worker.last_completion + 1,
         task=run.task,
         run=run.number,
-        how=how,
+        result=result,
         checkpoint=checkpoint,
     )
     apply_reply(
