--- a/chestnuttide/coordination/_cas_writes.py
+++ b/chestnuttide/coordination/_cas_writes.py
@@ -134,13 +134,13 @@
         The write.
     resolving : bool
         Whether it is being resolved by reading the key back.
-    read_at : float
+    next_read_at : float
         When the key is read again if no answer comes.
     """
 
     write: WriteBatch
     resolving: bool = False
-    read_at: float = float("inf")
+    next_read_at: float = float("inf")
 
 
 def is_pending(pending: PendingWrite | None, write_id: str) -> bool:
@@ -151,27 +151,27 @@
 def read_back(pending: PendingWrite, now: float) -> list[object]:
     """Read the key to learn the outcome of the write."""
     pending.resolving = True
-    pending.read_at = now + READ_RETRY_S
+    pending.next_read_at = now + READ_RETRY_S
     write = pending.write
     return [ReadKey(key=write.key, write_id=write.write_id)]
 
 
-def unanswered(pending: PendingWrite, now: float) -> list[object]:
+def handle_unanswered(pending: PendingWrite, now: float) -> list[object]:
     """Go on after the write, or the read that resolves it, got no answer."""
     if pending.resolving:
-        pending.read_at = now + READ_RETRY_S
+        pending.next_read_at = now + READ_RETRY_S
         return []
     return read_back(pending, now)
 
 
 def retry_read(pending: PendingWrite | None, now: float) -> list[object]:
     """Read the key once more if the last read got no answer in time."""
-    if pending is None or not pending.resolving or now < pending.read_at:
+    if pending is None or not pending.resolving or now < pending.next_read_at:
         return []
     return read_back(pending, now)
 
 
-def judge(pending: PendingWrite, message: ReadBack) -> Outcome:
+def resolve(pending: PendingWrite, message: ReadBack) -> Outcome:
     """Return what the key that was read back says about the write."""
     if message.entry_write_id == pending.write.write_id:
         return Outcome.TOOK_EFFECT
--- a/chestnuttide/coordination/_claims.py
+++ b/chestnuttide/coordination/_claims.py
@@ -1,4 +1,4 @@
-"""Records of shards: what is learned of them, claims and releases."""
+"""Shard records: tracking, claiming, confirming and releasing them."""
 
 from chestnuttide.coordination import _lease
 from chestnuttide.coordination import _messages
@@ -7,14 +7,14 @@
 from chestnuttide.coordination import _state
 
 
-def learn(
+def update_record(
     state: _state.OwnershipState,
     shard: str,
     record: _messages.ShardRecord,
     revision: int,
     now: float,
 ) -> list[object]:
-    """Take note of a shard's record; older ones than known are ignored."""
+    """Store a shard's record unless a newer one is already known."""
     known = state.records.get(shard)
     if known is not None and revision <= known.revision:
         return []
@@ -22,8 +22,8 @@
     if known is not None:
         same = known.record.epoch == record.epoch
         previous = known.previous if same else known.record
-    state.records[shard] = _state.Known(
-        record=record, revision=revision, learned_at=now, previous=previous
+    state.records[shard] = _state.KnownRecord(
+        record=record, revision=revision, seen_at=now, previous=previous
     )
     held = state.held.get(shard)
     if held is None:
@@ -40,65 +40,67 @@
     return [_messages.ShardLost(shard=shard, epoch=held.epoch, reason=reason)]
 
 
-def take_result(
+def handle_write_result(
     state: _state.OwnershipState, result: _messages.ClaimResult, now: float
 ) -> list[object]:
-    """Take note of the end of a write of a shard's record."""
+    """Record the result of a write of a shard's record."""
     if state.writing.get(result.shard) == result.write_id:
         del state.writing[result.shard]
         if not result.ok:
             retry = state.settings.write_retry_s
-            state.write_after[result.shard] = now + retry
+            state.next_write_at[result.shard] = now + retry
     if result.record is None:
         return []
-    return learn(state, result.shard, result.record, result.revision, now)
+    return update_record(
+        state, result.shard, result.record, result.revision, now
+    )
 
 
-def step(state: _state.OwnershipState, now: float) -> list[object]:
-    """Return the writes, requests and changes that are due."""
+def plan_outputs(state: _state.OwnershipState, now: float) -> list[object]:
+    """Return the writes, requests and ownership changes that are due."""
     outputs: list[object] = []
-    outputs.extend(_release(state, now))
-    outputs.extend(_confirm(state, now))
-    outputs.extend(_claim(state, now))
-    outputs.extend(_move(state, now))
+    outputs.extend(_plan_releases(state, now))
+    outputs.extend(_plan_confirmations(state, now))
+    outputs.extend(_plan_claims(state, now))
+    outputs.extend(_plan_moves(state, now))
     return outputs
 
 
-def take_consent(
+def record_consent(
     state: _state.OwnershipState,
     reply: _messages.ConsentReply,
     now: float,
 ) -> None:
-    """Take note of a voter's consent."""
-    asked = state.asked.get(reply.request_id)
+    """Record a voter's consent to claims of this instance."""
+    pending = state.pending_requests.get(reply.request_id)
     voters = state.voters
     if (
-        asked is None
+        pending is None
         or voters is None
         or reply.claimant_incarnation != state.incarnation
-        or reply.version != asked.version
+        or reply.version != pending.version
         or reply.version != voters.version
         or reply.voter not in voters.ids
     ):
         return
-    until = _lease.usable_until(asked.sent_at, reply.valid_s)
+    until = _lease.usable_until(pending.sent_at, reply.valid_s)
     for shard in reply.shards:
         claim = state.claims.get(shard)
-        if claim is not None and claim.revision == asked.shards.get(shard):
+        if claim is not None and claim.revision == pending.shards.get(shard):
             claim.consents[reply.voter] = max(
                 until, claim.consents.get(reply.voter, until)
             )
 
 
 def owner_gone(
-    state: _state.OwnershipState, known: _state.Known, now: float
+    state: _state.OwnershipState, known: _state.KnownRecord, now: float
 ) -> bool:
-    """Return whether the owner in a record has no member key any more.
+    """Return whether the owner named in a record has lost its member key.
 
-    The members must have been read after the record: an owner may have come
-    back and confirmed its record between the two reads.
+    The members must have been read after the record, because the owner may
+    have rejoined and confirmed its record between the two reads.
     """
-    if state.members is None or state.members_at < known.learned_at:
+    if state.members is None or state.members_sent_at < known.seen_at:
         return False
     record = known.record
     if record.owner == state.instance_id:
@@ -116,7 +118,7 @@
     )
 
 
-def _write(
+def _make_write(
     state: _state.OwnershipState,
     shard: str,
     expected_revision: int,
@@ -135,12 +137,12 @@
 def _may_write_key(
     state: _state.OwnershipState, shard: str, now: float
 ) -> bool:
-    return shard not in state.writing and now >= state.write_after.get(
+    return shard not in state.writing and now >= state.next_write_at.get(
         shard, now
     )
 
 
-def _release(state: _state.OwnershipState, now: float) -> list[object]:
+def _plan_releases(state: _state.OwnershipState, now: float) -> list[object]:
     outputs: list[object] = []
     if not state.store_reachable:
         return outputs
@@ -155,15 +157,17 @@
             state=_messages.RELEASED,
             residual=held.residual,
         )
-        outputs.append(_write(state, shard, held.revision, record))
+        outputs.append(_make_write(state, shard, held.revision, record))
     return outputs
 
 
-def _confirm(state: _state.OwnershipState, now: float) -> list[object]:
-    """Acquire shards whose record is this instance's own.
+def _plan_confirmations(
+    state: _state.OwnershipState, now: float
+) -> list[object]:
+    """Acquire the shards whose records name this instance as owner.
 
-    A record that was written under a former lease is written again first, so
-    that claims that rely on the end of that lease fail.
+    A record that was written under an earlier lease is first rewritten under
+    the current one, so that claims based on the expiry of that lease fail.
     """
     outputs: list[object] = []
     lease = state.lease
@@ -178,13 +182,15 @@
             continue
         if record.session != lease.lease_id:
             if _may_write_key(state, shard, now):
-                again = _messages.ShardRecord(
+                rewritten = _messages.ShardRecord(
                     owner=record.owner,
                     incarnation=record.incarnation,
                     session=lease.lease_id,
                     epoch=record.epoch,
                 )
-                outputs.append(_write(state, shard, known.revision, again))
+                outputs.append(
+                    _make_write(state, shard, known.revision, rewritten)
+                )
         elif held is None:
             outputs.append(_acquire(state, shard, known, now))
     return outputs
@@ -193,11 +199,11 @@
 def _acquire(
     state: _state.OwnershipState,
     shard: str,
-    known: _state.Known,
+    known: _state.KnownRecord,
     now: float,
 ) -> _messages.ShardAcquired:
     record = known.record
-    state.held[shard] = _state.Held(
+    state.held[shard] = _state.HeldShard(
         epoch=record.epoch,
         revision=known.revision,
         session=record.session,
@@ -215,7 +221,7 @@
     )
 
 
-def _claim(state: _state.OwnershipState, now: float) -> list[object]:
+def _plan_claims(state: _state.OwnershipState, now: float) -> list[object]:
     lease = state.lease
     if (
         lease is None
@@ -227,10 +233,10 @@
         state.claims.clear()
         return []
     outputs: list[object] = []
-    wanting: dict[tuple[str, str], dict[str, int]] = {}
+    lacking_consent: dict[tuple[str, str], dict[str, int]] = {}
     for shard in sorted(state.desired):
         known = state.records.get(shard)
-        if not _claimable(state, known, now):
+        if not _is_claimable(state, known, now):
             state.claims.pop(shard, None)
             continue
         revision = 0 if known is None else known.revision
@@ -244,26 +250,26 @@
             continue
         if known is not None and known.record.state == _messages.HELD:
             if not _has_consent(state, claim, now):
-                former = (known.record.owner, known.record.incarnation)
-                wanting.setdefault(former, {})[shard] = revision
+                former_owner = (known.record.owner, known.record.incarnation)
+                lacking_consent.setdefault(former_owner, {})[shard] = revision
                 continue
-        outputs.append(_claim_write(state, shard, known, lease.lease_id))
-    outputs.extend(_ask_consents(state, wanting, now))
-    # This voter's own consent may have completed a majority.
-    for shards in wanting.values():
+        outputs.append(_make_claim(state, shard, known, lease.lease_id))
+    outputs.extend(_request_consents(state, lacking_consent, now))
+    # The consent of this instance itself may have completed a majority.
+    for shards in lacking_consent.values():
         for shard in shards:
             if _has_consent(state, state.claims[shard], now):
                 known = state.records[shard]
                 outputs.append(
-                    _claim_write(state, shard, known, lease.lease_id)
+                    _make_claim(state, shard, known, lease.lease_id)
                 )
     return outputs
 
 
-def _claim_write(
+def _make_claim(
     state: _state.OwnershipState,
     shard: str,
-    known: _state.Known | None,
+    known: _state.KnownRecord | None,
     session: int,
 ) -> _messages.WriteShardRecord:
     record = _messages.ShardRecord(
@@ -272,11 +278,13 @@
         session=session,
         epoch=1 if known is None else known.record.epoch + 1,
     )
-    return _write(state, shard, 0 if known is None else known.revision, record)
+    return _make_write(
+        state, shard, 0 if known is None else known.revision, record
+    )
 
 
-def _claimable(
-    state: _state.OwnershipState, known: _state.Known | None, now: float
+def _is_claimable(
+    state: _state.OwnershipState, known: _state.KnownRecord | None, now: float
 ) -> bool:
     if known is None or known.record.state == _messages.RELEASED:
         return True
@@ -284,15 +292,15 @@
 
 
 def _claim_delay_s(
-    state: _state.OwnershipState, shard: str, known: _state.Known | None
+    state: _state.OwnershipState, shard: str, known: _state.KnownRecord | None
 ) -> float:
     ids = _state.candidates(state)
     if known is not None and known.record.state == _messages.RELEASED:
-        # The former owner gave the shard up for another member.
+        # The former owner released the shard to another member.
         if known.record.owner != state.instance_id:
             ids.discard(known.record.owner)
-    place = _state.turn(shard, ids, state.instance_id)
-    return place * state.settings.claim_step_s
+    rank = _state.rank_of(shard, ids, state.instance_id)
+    return rank * state.settings.claim_step_s
 
 
 def _has_consent(
@@ -301,7 +309,7 @@
     voters = state.voters
     if voters is None:
         return False
-    # All consents must count at the same moment, see `_ownership`.
+    # All consents must be valid at the same moment; see `_ownership`.
     count = sum(
         now < claim.consents.get(voter, now)
         or _state.counts_as_gone(state, voter, now)
@@ -310,56 +318,58 @@
     return count >= _state.majority(len(voters.ids))
 
 
-def _ask_consents(
+def _request_consents(
     state: _state.OwnershipState,
-    wanting: dict[tuple[str, str], dict[str, int]],
+    lacking_consent: dict[tuple[str, str], dict[str, int]],
     now: float,
 ) -> list[object]:
     outputs: list[object] = []
     voters = state.voters
     if voters is None or voters.version == 0:
         return outputs
-    for former, shards in wanting.items():
-        if now < state.consent_ask_at.get(former, now):
+    for former_owner, shards in lacking_consent.items():
+        if now < state.next_consent_request_at.get(former_owner, now):
             continue
-        state.consent_ask_at[former] = now + state.settings.request_retry_s
+        state.next_consent_request_at[former_owner] = (
+            now + state.settings.request_retry_s
+        )
         number = _state.next_number(state)
-        state.asked[number] = _state.Asked(
+        state.pending_requests[number] = _state.PendingRequest(
             sent_at=now, version=voters.version, shards=shards
         )
         request = _messages.ConsentRequest(
             request_id=number,
             claimant=state.instance_id,
             claimant_incarnation=state.incarnation,
-            owner=former[0],
-            incarnation=former[1],
+            owner=former_owner[0],
+            incarnation=former_owner[1],
             version=voters.version,
             shards=tuple(sorted(shards.items())),
         )
         for voter in voters.ids:
             if voter == state.instance_id:
                 reply = _promises.give_consent(state, request, now)
-                take_consent(state, reply, now)
+                record_consent(state, reply, now)
             elif voter in state.peers:
                 outputs.append(_messages.Send(to=voter, message=request))
     return outputs
 
 
-def _move(state: _state.OwnershipState, now: float) -> list[object]:
+def _plan_moves(state: _state.OwnershipState, now: float) -> list[object]:
     outputs: list[object] = []
     if state.members is None or not state.store_reachable:
         return outputs
     settings = state.settings
     others = _state.candidates(state)
-    asked_before = now - settings.move_retry_s
+    retry_before = now - settings.move_retry_s
     moving = sum(
-        held.releasing or held.move_asked_at > asked_before
+        held.releasing or held.release_requested_at > retry_before
         for held in state.held.values()
     )
     for shard, held in state.held.items():
         if moving >= settings.max_moves:
             break
-        if held.releasing or held.move_asked_at > asked_before:
+        if held.releasing or held.release_requested_at > retry_before:
             continue
         to = _rendezvous.preferred(shard, others)
         unwanted = shard not in state.desired
@@ -368,7 +378,7 @@
                 continue
             if now < held.acquired_at + settings.min_hold_s:
                 continue
-        held.move_asked_at = now
+        held.release_requested_at = now
         moving += 1
         name = "" if unwanted or to is None else to
         outputs.append(_messages.ShouldRelease(shard=shard, to=name))
--- a/chestnuttide/coordination/_journal.py
+++ b/chestnuttide/coordination/_journal.py
@@ -32,7 +32,7 @@
 SNAPSHOT_SHARE: typing.Final = 0.5
 # Share of the ring that is kept free for seals: each successor that fails
 # before its first snapshot uses one slot.
-SEAL_SHARE: typing.Final = 0.125
+SEAL_RESERVE_SHARE: typing.Final = 0.125
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -217,9 +217,9 @@
         Whether another owner has written; nothing is written any more.
     budget : int
         Writes that are granted and not used.
-    budget_asked : bool
+    budget_requested : bool
         Whether `BudgetWanted` is not answered yet.
-    snapshot_asked : bool
+    snapshot_requested : bool
         Whether a snapshot is being taken or written.
     pending : deque of Append or SnapshotMark
         Events that are not in a batch yet.
@@ -238,8 +238,8 @@
     sealed: bool = False
     deposed: bool = False
     budget: int = 0
-    budget_asked: bool = False
-    snapshot_asked: bool = False
+    budget_requested: bool = False
+    snapshot_requested: bool = False
     pending: collections.deque[Append | SnapshotMark] = attrs.field(
         factory=collections.deque
     )
@@ -337,7 +337,7 @@
     state: JournalState, message: WriteBudget, now: float
 ) -> list[object]:
     state.budget += message.tokens
-    state.budget_asked = False
+    state.budget_requested = False
     return []
 
 
@@ -347,7 +347,7 @@
     current = state.in_flight
     if not _cas_writes.is_pending(_pending(state), message.write_id):
         return []
-    return _finish(state, current, message.revision)
+    return _complete_write(state, current, message.revision)
 
 
 def _on_conflict(
@@ -366,7 +366,7 @@
     pending = _pending(state)
     if not _cas_writes.is_pending(pending, message.write_id):
         return []
-    return _cas_writes.unanswered(pending, now)
+    return _cas_writes.handle_unanswered(pending, now)
 
 
 def _on_read_back(
@@ -378,9 +378,9 @@
         or not pending.resolving
     ):
         return []
-    match _cas_writes.judge(pending, message):
+    match _cas_writes.resolve(pending, message):
         case _cas_writes.Outcome.TOOK_EFFECT:
-            return _finish(state, state.in_flight, message.revision)
+            return _complete_write(state, state.in_flight, message.revision)
         case _cas_writes.Outcome.SEND_AGAIN:
             return [pending.write]
     state.deposed = True
@@ -401,7 +401,7 @@
     state: JournalState, message: SnapshotWritten, now: float
 ) -> list[object]:
     state.base_seq = max(state.base_seq, message.base_seq)
-    state.snapshot_asked = False
+    state.snapshot_requested = False
     return []
 
 
@@ -424,7 +424,7 @@
     return None if state.in_flight is None else state.in_flight.pending
 
 
-def _finish(
+def _complete_write(
     state: JournalState, current: InFlight, revision: int
 ) -> list[object]:
     state.revisions[current.slot] = revision
@@ -454,26 +454,28 @@
         state.pending.popleft()
         outputs.append(SnapshotReady(data=first.data, base_seq=state.next_seq))
     due = state.sealed and used >= state.ring_size * SNAPSHOT_SHARE
-    if (due or full) and not state.snapshot_asked:
-        state.snapshot_asked = True
+    if (due or full) and not state.snapshot_requested:
+        state.snapshot_requested = True
         outputs.append(SnapshotDue())
     if state.sealed and not state.pending:
         return outputs
     # Without this limit a batch would replace one that no snapshot covers.
-    kept_free = math.ceil(state.ring_size * SEAL_SHARE) if state.sealed else 0
-    if used >= state.ring_size - kept_free:
+    reserved_slots = (
+        math.ceil(state.ring_size * SEAL_RESERVE_SHARE) if state.sealed else 0
+    )
+    if used >= state.ring_size - reserved_slots:
         return outputs
     if state.budget < 1:
-        if not state.budget_asked:
-            state.budget_asked = True
+        if not state.budget_requested:
+            state.budget_requested = True
             outputs.append(BudgetWanted())
         return outputs
     state.budget -= 1
-    outputs.append(_form(state))
+    outputs.append(_make_batch(state))
     return outputs
 
 
-def _form(state: JournalState) -> _cas_writes.WriteBatch:
+def _make_batch(state: JournalState) -> _cas_writes.WriteBatch:
     events: list[bytes] = []
     tokens: list[int] = []
     size = 0
--- a/chestnuttide/coordination/_lease.py
+++ b/chestnuttide/coordination/_lease.py
@@ -1,22 +1,22 @@
-"""A holder's view of its own lease, on its monotonic clock.
+"""Validity of a store lease by the holder's own monotonic clock.
 
-The store counts the time to live from when it handles the call, which is
-after the call was sent. Counting from before the call was sent, less a margin
-for different clock rates, therefore ends the holder's view first.
+The store counts the time to live from when it handles the call. The holder
+counts from before it sends the call and subtracts a margin for clock drift,
+so it regards the lease as expired before the store does.
 """
 
 import typing
 
 import attrs
 
-# Share of a duration that is given up so that two clocks whose rates differ
-# by less than this agree on who is late.
+# Share subtracted from a granted duration. Two clocks whose rates differ by
+# less than this agree on which side expires first.
 CLOCK_MARGIN: typing.Final = 0.1
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Lease:
-    """A lease as its holder may rely on it.
+    """A lease as seen by its holder.
 
     Attributes
     ----------
@@ -25,7 +25,7 @@
     ttl_s : float
         Time to live in seconds, as the store counts it.
     valid_until : float
-        Monotonic time, in seconds, from which the lease is not relied on.
+        Monotonic time, in seconds, at which the holder treats it as expired.
     """
 
     lease_id: int
@@ -36,16 +36,16 @@
 def usable_until(
     sent_at: float, duration_s: float, margin: float = CLOCK_MARGIN
 ) -> float:
-    """Return until when a duration granted by a peer may be relied on.
+    """Return the time until which a duration granted by a peer is usable.
 
     Parameters
     ----------
     sent_at : float
         Monotonic time, in seconds, before the request was sent.
     duration_s : float
-        Seconds that the peer granted, counted by the peer from the receipt.
+        Seconds that the peer granted and counts from receiving the request.
     margin : float
-        Share of the duration given up for clock drift.
+        Share of the duration subtracted for clock drift.
     """
     return sent_at + duration_s * (1.0 - margin)
 
@@ -58,7 +58,7 @@
     Parameters
     ----------
     lease : Lease or None
-        The lease so far.
+        The lease before the call.
     lease_id : int
         Id of the lease that was granted or renewed.
     sent_at : float
--- a/chestnuttide/coordination/_ledger.py
+++ b/chestnuttide/coordination/_ledger.py
@@ -37,7 +37,9 @@
     OUTCOME_UNKNOWN = "outcome_unknown"
 
 
-_ENDED = frozenset({RequestState.ANSWERED, RequestState.OUTCOME_UNKNOWN})
+_FINAL_STATES = frozenset(
+    {RequestState.ANSWERED, RequestState.OUTCOME_UNKNOWN}
+)
 _CODES = {state: code for code, state in enumerate(RequestState)}
 _STATES = dict(enumerate(RequestState))
 
@@ -126,7 +128,7 @@
         Token with which the event is appended.
     """
     for request_id in request_ids:
-        entry = _entry(ledger, request_id)
+        entry = _require_entry(ledger, request_id)
         entry.journalled = True
         entry.token = token
     return cbor2.dumps([INTENT_EVENT, *request_ids])
@@ -151,7 +153,7 @@
         return False
     if not entry.journalled or entry.token != token:
         return False
-    _change(ledger, request_id, entry, RequestState.INTENT_RECORDED, now)
+    _set_state(ledger, request_id, entry, RequestState.INTENT_RECORDED, now)
     return True
 
 
@@ -163,7 +165,7 @@
     entry = ledger.entries.get(request_id)
     if entry is None or entry.state is not RequestState.INTENT_RECORDED:
         return False
-    _change(ledger, request_id, entry, RequestState.SENT, now)
+    _set_state(ledger, request_id, entry, RequestState.SENT, now)
     return True
 
 
@@ -174,7 +176,9 @@
     """
     entry = ledger.entries.get(request_id)
     if entry is not None and entry.state is RequestState.SENT:
-        _change(ledger, request_id, entry, RequestState.INTENT_RECORDED, now)
+        _set_state(
+            ledger, request_id, entry, RequestState.INTENT_RECORDED, now
+        )
 
 
 def mark_answered(
@@ -187,14 +191,16 @@
         RequestState.OUTCOME_UNKNOWN,
     ):
         entry.status = status
-        _change(ledger, request_id, entry, RequestState.ANSWERED, now)
+        _set_state(ledger, request_id, entry, RequestState.ANSWERED, now)
 
 
 def mark_unknown(ledger: LedgerState, request_id: str, now: float) -> None:
     """Note that no answer came for a sent id, which may have run."""
     entry = ledger.entries.get(request_id)
     if entry is not None and entry.state is RequestState.SENT:
-        _change(ledger, request_id, entry, RequestState.OUTCOME_UNKNOWN, now)
+        _set_state(
+            ledger, request_id, entry, RequestState.OUTCOME_UNKNOWN, now
+        )
 
 
 def refuse(ledger: LedgerState, request_id: str) -> bool:
@@ -212,7 +218,7 @@
     errors.ProtocolError
         If the id was sent.
     """
-    entry = _entry(ledger, request_id)
+    entry = _require_entry(ledger, request_id)
     if entry.state not in (
         RequestState.ACCEPTED,
         RequestState.INTENT_RECORDED,
@@ -256,7 +262,7 @@
         request_id, entry = next(iter(entries.items()))
         if now < entry.changed_at + ledger.remember_s:
             return
-        if entry.state in _ENDED:
+        if entry.state in _FINAL_STATES:
             del entries[request_id]
         else:
             # Still in progress: an id must not be forgotten while it may run.
@@ -329,16 +335,16 @@
         ) as error:
             raise _malformed() from error
     for event in events:
-        _apply(ledger, event, now)
+        _apply_event(ledger, event, now)
     for request_id, entry in list(ledger.entries.items()):
-        if entry.state not in _ENDED:
-            _change(
+        if entry.state not in _FINAL_STATES:
+            _set_state(
                 ledger, request_id, entry, RequestState.OUTCOME_UNKNOWN, now
             )
     return ledger
 
 
-def _apply(ledger: LedgerState, event: bytes, now: float) -> None:
+def _apply_event(ledger: LedgerState, event: bytes, now: float) -> None:
     try:
         items = cbor2.loads(event)
     except (cbor2.CBORDecodeError, ValueError) as error:
@@ -367,7 +373,7 @@
             ledger.entries.move_to_end(request_id)
 
 
-def _entry(ledger: LedgerState, request_id: str) -> LedgerEntry:
+def _require_entry(ledger: LedgerState, request_id: str) -> LedgerEntry:
     entry = ledger.entries.get(request_id)
     if entry is None:
         raise errors.ProtocolError(
@@ -377,7 +383,7 @@
     return entry
 
 
-def _change(
+def _set_state(
     ledger: LedgerState,
     request_id: str,
     entry: LedgerEntry,
--- a/chestnuttide/coordination/_ownership.py
+++ b/chestnuttide/coordination/_ownership.py
@@ -1,67 +1,69 @@
-"""Ownership of shards by leases, and by promises while the store fails.
+"""Shard ownership by store leases, and by promises during a store outage.
 
-Why two instances never both may act for a shard
-------------------------------------------------
+Why two instances never act for the same shard at once
+------------------------------------------------------
 Let owner O hold the record of revision R, written under lease (session) L.
-O may act only while it is *covered*: its clock says that L is valid, or an
-uninterrupted chain of promise majorities reaches from a moment at which L was
-valid to now. A claimant Q replaces the unreleased record only by a CAS that
-expects R, sent at a moment t at which, at once,
-
-1. Q has read R, has then read the members and found O's incarnation missing;
-2. a majority of the voters consents: each consent was asked for after 1., and
-   Q counts it for one promise time less margin from the sending.
-
-*At t, O is not covered.* The member key lives and dies with the lease, and
-O's clock gives the lease up before the store does, so L was over at 1. A new
-lease of O does not cover it before O has written the record again under that
-lease, which makes Q's CAS fail. For the promises: a voter consents only
-without an outstanding promise for the shard, and after its consent refuses
-promises for records up to R; if it restarts and forgets this, it is quiet for
-one promise time, which outlasts the consent's count at Q. So at t no
-consenting voter has a promise outstanding, and each majority contains a
-consenting voter.
-
-*After t, O is not covered either.* A promise extends a chain only if O is
-covered when it arrives; once broken, a chain is only begun again after a CAS
-of O's own, which has made Q's CAS fail or fails itself. It therefore does no
-harm if Q's CAS is delayed for long, or if O or Q pauses between any two
-steps.
-
-A promise request in flight while a consent is given meets the voter before
-it (then the promise bars the consent) or after it (then it is refused,
-because it names a record not above R). The record in a request may be older
-than the one in the store, when O does not know yet that its own write took
-effect. Therefore a promise bars consents for every revision, while a consent
-bars promises for revisions up to its own.
+O may act only while it is *covered*: its clock shows that L is valid, or an
+unbroken chain of promise majorities spans the time from a moment at which L
+was valid until now. A claimant Q replaces an unreleased record only by a CAS
+that expects R. Q sends it at a moment t at which both of these hold:
+
+1. Q has read R, has then read the members, and found no member key of O's
+   incarnation.
+2. A majority of the voters consents. Q requested each consent after step 1
+   and relies on it for one promise time, less the margin, from the sending
+   of the request.
+
+*O is not covered at t.* The member key exists only as long as the lease, and
+O's clock expires the lease before the store does, so L had expired at step 1.
+A new lease of O does not cover it until O has rewritten the record under that
+lease, which makes Q's CAS fail. As for the promises: a voter consents only if
+it has no outstanding promise for the shard, and after its consent it refuses
+promises for records up to R. A voter that restarts and loses this state does
+not vote for one promise time, which is longer than Q relies on its consent.
+So at t no consenting voter has an outstanding promise, and every majority
+contains a consenting voter.
+
+*O is not covered after t either.* A promise extends a chain only if O is
+covered when the promise arrives. A broken chain is started anew only after a
+CAS of O's own, which either has made Q's CAS fail or fails itself. A long
+delay of Q's CAS, or a pause of O or Q between any two steps, is therefore
+harmless.
+
+A promise request that is in flight while a consent is given reaches the voter
+either before the consent, and the promise then prevents it, or after it, and
+is refused because it names a record that is not above R. The record in a
+request may be older than the one in the store if O does not know yet that its
+own write took effect. Therefore a promise prevents consents for every
+revision, while a consent prevents promises for revisions up to its own.
 
 A voter that the platform lists as gone counts as consenting after one promise
-time, in which its last promise ends. The list must not call an instance gone
-that runs, and ids of gone instances must not be used again.
+time, by which its last promise has ended. The list must not name an instance
+that is still running, and the id of a gone instance must not be reused.
 
 *Change of voters.* The proposal for version v + 1 is first written to the
-voters key itself. A voter that acknowledges has no promise outstanding and
-then refuses versions below v + 1. If it restarts, it cannot vote before it
-has read the key, where it finds the proposal, or its successor, and is bound
-again. Once a majority of version v has acknowledged, no majority of promises
-under v exists any more, and the key may name version v + 1. A consent under v
-that such a voter gave before is no danger: Q asked for it after L was over,
-so O's chain had to pass through promises under v at the acknowledgement, and
-is broken.
+voters key itself. A voter acknowledges it only without an outstanding promise
+and then refuses versions below v + 1. If the voter restarts, it cannot vote
+before it has read the key; there it finds the proposal or its successor and
+is bound again. Once a majority of version v has acknowledged, no majority of
+promises under v exists, and the key may be set to version v + 1. A consent
+that such a voter gave earlier under v is safe: Q requested it after L had
+expired, so O's chain would have needed promises under v at the time of the
+acknowledgement, and is broken.
 
 Contract with the driver
 ------------------------
 * `LeaseRenewed` is reported only if the key ``members/<instance>`` is attached
-  to that lease; the key is created by CAS on absence, so that a restarted
-  instance waits for the end of its predecessor's lease. The lease is revoked
-  only once no shard is held.
-* Times in messages are taken before a call is sent. `MembersRead` comes from
+  to that lease. The key is created by a CAS that expects it to be absent, so a
+  restarted instance waits until its predecessor's lease has expired. The lease
+  is revoked only once no shard is owned.
+* Times in messages are read before the call is sent. `MembersRead` comes from
   a read that was sent at `sent_at` or later.
-* Every `WriteShardRecord` is answered by one `ClaimResult`; a lost answer is
-  resolved by reading the key back. A write that is reported as failed may
-  still take effect later.
-* An instance that drains rewrites its member key with ``leaving`` set.
-* `may_act` is called immediately before each dispatch, with a fresh time.
+* Every `WriteShardRecord` is answered by one `ClaimResult`. If the answer of
+  the store is lost, the driver reads the key back. A write that is reported as
+  failed may still take effect later.
+* A draining instance rewrites its member key with ``leaving`` set.
+* `may_act` is called immediately before each dispatch, with the current time.
 """
 
 import collections.abc
@@ -89,9 +91,9 @@
     instance_id : str
         Id of this instance.
     incarnation : str
-        String that no other start of this instance uses.
+        String that is unique to this run of the instance.
     now : float
-        Monotonic time, in seconds, of the start or later.
+        Monotonic time, in seconds; not before the start of the instance.
     settings : OwnershipSettings, optional
         Times and limits.
     """
@@ -114,7 +116,7 @@
     Returns
     -------
     Filter
-        Takes the input messages of `_messages` and returns `Send`,
+        Accepts the input messages of `_messages` and returns `Send`,
         `WriteShardRecord`, `WriteVoters`, `ShardAcquired`, `ShardLost` and
         `ShouldRelease`. Raises `TypeError` for an unknown message.
     """
@@ -126,10 +128,10 @@
         outputs = list(handle(state, message, now))
         if type(message) in _VOTER_REQUESTS:
             return outputs
-        _promises.forget_requests(state, now)
-        outputs.extend(_promises.ask_promises(state, now))
-        outputs.extend(_claims.step(state, now))
-        outputs.extend(_voters.step(state, now))
+        _promises.drop_stale_requests(state, now)
+        outputs.extend(_promises.request_promises(state, now))
+        outputs.extend(_claims.plan_outputs(state, now))
+        outputs.extend(_voters.plan_outputs(state, now))
         return outputs
 
     return run
@@ -182,7 +184,9 @@
     outputs: list[object] = []
     for one in message.records:
         outputs.extend(
-            _claims.learn(state, one.shard, one.record, one.revision, now)
+            _claims.update_record(
+                state, one.shard, one.record, one.revision, now
+            )
         )
     return outputs
 
@@ -192,16 +196,16 @@
     message: _messages.MembersRead,
     now: float,
 ) -> list[object]:
-    if message.sent_at >= state.members_at:
+    if message.sent_at >= state.members_sent_at:
         state.members = {one.instance_id: one for one in message.members}
-        state.members_at = message.sent_at
+        state.members_sent_at = message.sent_at
     return []
 
 
 def _on_voters(
     state: _state.OwnershipState, message: _messages.VotersRead, now: float
 ) -> list[object]:
-    _voters.learn(state, message)
+    _voters.update_voters(state, message)
     return []
 
 
@@ -247,7 +251,7 @@
     message: _messages.PromiseReply,
     now: float,
 ) -> list[object]:
-    _promises.take_promise(state, message, now)
+    _promises.record_promise(state, message, now)
     return []
 
 
@@ -265,7 +269,7 @@
     message: _messages.ConsentReply,
     now: float,
 ) -> list[object]:
-    _claims.take_consent(state, message, now)
+    _claims.record_consent(state, message, now)
     return []
 
 
@@ -283,7 +287,7 @@
 def _on_ack(
     state: _state.OwnershipState, message: _messages.VotersAck, now: float
 ) -> list[object]:
-    _voters.take_ack(state, message)
+    _voters.record_ack(state, message)
     return []
 
 
@@ -292,7 +296,7 @@
     message: _messages.ClaimResult,
     now: float,
 ) -> list[object]:
-    return _claims.take_result(state, message, now)
+    return _claims.handle_write_result(state, message, now)
 
 
 def _on_release(
@@ -338,8 +342,8 @@
     _messages.VotersRead: _on_voters,
 }
 
-# Requests to this instance as a voter change nothing else, so that a voter
-# answers them without going through its own shards.
+# Requests to this instance as a voter do not affect its own shards, so they
+# are answered without checking the shards for due work.
 _VOTER_REQUESTS = frozenset(
     {
         _messages.ConsentRequest,
--- a/chestnuttide/coordination/_promises.py
+++ b/chestnuttide/coordination/_promises.py
@@ -1,4 +1,4 @@
-"""Promises and consents: the voter's part and the owner's part."""
+"""Promises and consents, on the side of the voter and of the owner."""
 
 from chestnuttide.coordination import _lease
 from chestnuttide.coordination import _messages
@@ -8,18 +8,18 @@
 def may_vote(state: _state.OwnershipState, version: int, now: float) -> bool:
     """Return whether this instance may answer as a voter of a version.
 
-    It may not for one promise time after its start, because it does not know
-    what it promised before, and not before it has read the voters, because it
-    does not know which version it gave up.
+    It must not vote for one promise time after its start, because it does not
+    know what it promised before the restart. Nor must it vote before it has
+    read the voters, because it does not know which versions it has given up.
     """
     voters = state.voters
     return (
         voters is not None
         and version == voters.version
-        and version >= state.bound_version
+        and version >= state.min_voters_version
         and state.instance_id in voters.ids
         and state.instance_id not in state.gone_since
-        and now >= state.started_at + _state.drift_s(state)
+        and now >= state.started_at + _state.promise_wait_s(state)
     )
 
 
@@ -31,10 +31,10 @@
     """Answer a request for promises.
 
     A shard is refused once this voter has consented to a claim that replaces
-    the named record or a later one. After a pause all are refused for a
-    moment: a request that waited during the pause is of no use to its owner
-    any more, and a promise would hold up the successor for its whole time. An
-    owner that still wants one asks again.
+    the named record or a later one. For a short time after a pause, all shards
+    are refused: a request that waited during the pause no longer helps its
+    owner, and a promise would delay the successor for the full promise time.
+    An owner that still needs the promise repeats its request.
     """
     promise_s = min(request.promise_s, state.settings.promise_s)
     shards: list[str] = []
@@ -42,14 +42,14 @@
         for shard, revision in request.shards:
             if revision <= state.consented.get(shard, -1):
                 continue
-            given = state.given.get(shard)
+            given = state.given_promises.get(shard)
             if (
                 given is not None
                 and now < given.until
                 and not _same_owner(given, request.owner, request.incarnation)
             ):
                 continue
-            state.given[shard] = _state.Given(
+            state.given_promises[shard] = _state.GivenPromise(
                 owner=request.owner,
                 incarnation=request.incarnation,
                 until=now + promise_s,
@@ -66,7 +66,7 @@
 
 
 def _has_backlog(state: _state.OwnershipState, now: float) -> bool:
-    """Return whether messages may have waited during a pause."""
+    """Return whether messages may have been queued during a pause."""
     paused = now - state.ticked_at > state.settings.pause_s
     return paused or now < state.backlog_until
 
@@ -79,16 +79,16 @@
     """Answer a request for consent to claims.
 
     A shard is refused while a promise for it is outstanding, whichever
-    revision of its record the promise named: the owner may not know yet that
-    its own last write of the record took effect.
+    revision of the record the promise names, because the owner may not know
+    yet that its own last write of the record took effect.
     """
     shards: list[str] = []
     if may_vote(state, request.version, now):
         for shard, revision in request.shards:
-            given = state.given.get(shard)
+            given = state.given_promises.get(shard)
             if given is not None and now < given.until:
                 continue
-            state.given.pop(shard, None)
+            state.given_promises.pop(shard, None)
             state.consented[shard] = max(
                 revision, state.consented.get(shard, -1)
             )
@@ -103,21 +103,23 @@
     )
 
 
-def outstanding(state: _state.OwnershipState, now: float) -> bool:
+def has_outstanding_promise(state: _state.OwnershipState, now: float) -> bool:
     """Return whether any promise of this voter is outstanding."""
-    ended = [key for key, one in state.given.items() if now >= one.until]
-    for key in ended:
-        del state.given[key]
-    return bool(state.given)
+    stale = [
+        key for key, one in state.given_promises.items() if now >= one.until
+    ]
+    for key in stale:
+        del state.given_promises[key]
+    return bool(state.given_promises)
 
 
-def ask_promises(
+def request_promises(
     state: _state.OwnershipState, now: float
 ) -> list[_messages.Send]:
-    """Ask the voters for promises while access to the store fails.
+    """Request promises from the voters while the store is failing.
 
-    Only shards that are covered now are named: promises continue ownership,
-    they never restore it.
+    Only shards that are covered now are named, because promises can extend
+    ownership but not restore it.
     """
     voters = state.voters
     if voters is None or not _state.store_failing(state, now):
@@ -131,13 +133,15 @@
         return []
     sends: list[_messages.Send] = []
     for voter in voters.ids:
-        if now < state.promise_ask_at.get(voter, now):
+        if now < state.next_promise_request_at.get(voter, now):
             continue
         if voter != state.instance_id and voter not in state.peers:
             continue
-        state.promise_ask_at[voter] = now + state.settings.request_retry_s
+        state.next_promise_request_at[voter] = (
+            now + state.settings.request_retry_s
+        )
         number = _state.next_number(state)
-        state.asked[number] = _state.Asked(
+        state.pending_requests[number] = _state.PendingRequest(
             sent_at=now, version=voters.version, shards=shards
         )
         request = _messages.PromiseRequest(
@@ -149,55 +153,61 @@
             shards=tuple(sorted(shards.items())),
         )
         if voter == state.instance_id:
-            take_promise(state, give_promise(state, request, now), now)
+            record_promise(state, give_promise(state, request, now), now)
         else:
             sends.append(_messages.Send(to=voter, message=request))
     return sends
 
 
-def take_promise(
+def record_promise(
     state: _state.OwnershipState,
     reply: _messages.PromiseReply,
     now: float,
 ) -> None:
-    """Extend the ownership that a majority of the voters has promised."""
-    asked = state.asked.get(reply.request_id)
+    """Record a voter's promise and extend ownership if a majority promised."""
+    pending = state.pending_requests.get(reply.request_id)
     voters = state.voters
     if (
-        asked is None
+        pending is None
         or voters is None
         or reply.incarnation != state.incarnation
-        or reply.version != asked.version
+        or reply.version != pending.version
         or reply.version != voters.version
         or reply.voter not in voters.ids
     ):
         return
-    until = _lease.usable_until(asked.sent_at, reply.promise_s)
+    until = _lease.usable_until(pending.sent_at, reply.promise_s)
     if reply.shards:
-        half = (until - asked.sent_at) / 2
-        state.promise_ask_at[reply.voter] = asked.sent_at + half
+        half = (until - pending.sent_at) / 2
+        state.next_promise_request_at[reply.voter] = pending.sent_at + half
     needed = _state.majority(len(voters.ids))
     for shard in reply.shards:
         held = state.held.get(shard)
-        if held is None or shard not in asked.shards:
+        if held is None or shard not in pending.shards:
             continue
         held.promises[reply.voter] = max(
             until, held.promises.get(reply.voter, until)
         )
         ends = sorted(held.promises.values(), reverse=True)
-        # A promise that arrives after a gap must not close it: a claimant
-        # may have got its consents in the gap.
+        # A promise that arrives after ownership was uncovered must not restore
+        # it: a claimant may have received its consents in the meantime.
         if len(ends) >= needed and _state.covered(state, held, now):
             held.promised_until = max(held.promised_until, ends[needed - 1])
 
 
-def forget_requests(state: _state.OwnershipState, now: float) -> None:
-    """Drop requests whose answers would be of no use any more."""
+def drop_stale_requests(state: _state.OwnershipState, now: float) -> None:
+    """Drop requests whose replies would arrive too late to be used."""
     oldest = now - state.settings.promise_s
-    ended = [key for key, one in state.asked.items() if one.sent_at < oldest]
-    for key in ended:
-        del state.asked[key]
-
-
-def _same_owner(given: _state.Given, owner: str, incarnation: str) -> bool:
+    stale = [
+        key
+        for key, one in state.pending_requests.items()
+        if one.sent_at < oldest
+    ]
+    for key in stale:
+        del state.pending_requests[key]
+
+
+def _same_owner(
+    given: _state.GivenPromise, owner: str, incarnation: str
+) -> bool:
     return given.owner == owner and given.incarnation == incarnation
--- a/chestnuttide/coordination/_recovery.py
+++ b/chestnuttide/coordination/_recovery.py
@@ -99,7 +99,7 @@
     if manifest is not None:
         current = _snapshots.decode_manifest(manifest.value)
         snapshot_revisions[manifest.key] = manifest.revision
-    snapshot = _join(shard, current, stored)
+    snapshot = _join_chunks(shard, current, stored)
     prefix = _journal.ring_prefix(shard)
     ring_revisions: dict[int, int] = {}
     batches: list[tuple[int, int, list[bytes]]] = []
@@ -108,20 +108,22 @@
         ring_revisions[slot] = one.revision
         batch = _journal.decode_batch(one.value)
         if batch[0] % ring_size != slot:
-            raise _unfit("A batch is in the wrong slot of the journal.")
+            raise _inconsistent("A batch is in the wrong slot of the journal.")
         if batch[0] >= current.base_seq:
             batches.append(batch)
     batches.sort(key=lambda batch: batch[0])
     events: list[bytes] = []
     next_seq = current.base_seq
     last_epoch = 0
-    for seq, epoch, some in batches:
+    for seq, epoch, batch_events in batches:
         if seq != next_seq:
-            raise _unfit("A batch is missing in the journal.")
+            raise _inconsistent("A batch is missing in the journal.")
         if epoch < last_epoch:
-            raise _unfit("A batch of an older epoch follows a newer one.")
+            raise _inconsistent(
+                "A batch of an older epoch follows a newer one."
+            )
         last_epoch = epoch
-        events.extend(some)
+        events.extend(batch_events)
         next_seq += 1
     return Recovery(
         snapshot=snapshot,
@@ -207,7 +209,7 @@
     )
 
 
-def _join(
+def _join_chunks(
     shard: str,
     manifest: _snapshots.Manifest,
     chunks: list[StoredEntry],
@@ -220,14 +222,14 @@
         for index in range(manifest.chunks)
     ]
     if not all(key in values for key in keys):
-        raise _unfit("A chunk of the snapshot is missing.")
+        raise _inconsistent("A chunk of the snapshot is missing.")
     data = b"".join(_snapshots.decode_chunk(values[key])[1] for key in keys)
     if xxhash.xxh64_intdigest(data) != manifest.checksum:
-        raise _unfit("The snapshot does not match its checksum.")
+        raise _inconsistent("The snapshot does not match its checksum.")
     return data
 
 
-def _unfit(message: str) -> errors.ProtocolError:
+def _inconsistent(message: str) -> errors.ProtocolError:
     return errors.ProtocolError(
         message=message, remedy="Read the shard's keys again."
     )
--- a/chestnuttide/coordination/_snapshots.py
+++ b/chestnuttide/coordination/_snapshots.py
@@ -88,9 +88,9 @@
         Whether another owner has written the manifest.
     queue : deque of (str, bytes)
         Keys and values still to write, the manifest last.
-    following : Manifest or None
+    next_manifest : Manifest or None
         The manifest that is being written.
-    waiting : SnapshotReady or None
+    waiting_snapshot : SnapshotReady or None
         A snapshot that is written after the manifest in flight.
     pending : PendingWrite or None
         The write in flight.
@@ -107,8 +107,8 @@
     queue: collections.deque[tuple[str, bytes]] = attrs.field(
         factory=collections.deque
     )
-    following: Manifest | None = None
-    waiting: _journal.SnapshotReady | None = None
+    next_manifest: Manifest | None = None
+    waiting_snapshot: _journal.SnapshotReady | None = None
     pending: _cas_writes.PendingWrite | None = None
 
 
@@ -226,7 +226,7 @@
 def _on_tick(
     state: SnapshotState, message: _journal.JournalTick, now: float
 ) -> list[object]:
-    if not state.fenced and state.following is None:
+    if not state.fenced and state.next_manifest is None:
         _queue_manifest(state, attrs.evolve(state.manifest, epoch=state.epoch))
     return _cas_writes.retry_read(state.pending, now)
 
@@ -234,14 +234,16 @@
 def _on_ready(
     state: SnapshotState, message: _journal.SnapshotReady, now: float
 ) -> list[object]:
-    if not state.fenced or state.following is not None:
-        state.waiting = message
+    if not state.fenced or state.next_manifest is not None:
+        state.waiting_snapshot = message
         return []
-    _begin(state, message)
+    _start_snapshot(state, message)
     return []
 
 
-def _begin(state: SnapshotState, message: _journal.SnapshotReady) -> None:
+def _start_snapshot(
+    state: SnapshotState, message: _journal.SnapshotReady
+) -> None:
     generation = 1 - state.manifest.generation
     size = state.max_chunk_bytes
     chunks = [
@@ -269,7 +271,7 @@
     pending = state.pending
     if not _cas_writes.is_pending(pending, message.write_id):
         return []
-    return _finish(state, pending.write, message.revision)
+    return _complete_write(state, pending.write, message.revision)
 
 
 def _on_conflict(
@@ -285,7 +287,7 @@
 ) -> list[object]:
     if not _cas_writes.is_pending(state.pending, message.write_id):
         return []
-    return _cas_writes.unanswered(state.pending, now)
+    return _cas_writes.handle_unanswered(state.pending, now)
 
 
 def _on_read_back(
@@ -297,9 +299,9 @@
         or not pending.resolving
     ):
         return []
-    match _cas_writes.judge(pending, message):
+    match _cas_writes.resolve(pending, message):
         case _cas_writes.Outcome.TOOK_EFFECT:
-            return _finish(state, pending.write, message.revision)
+            return _complete_write(state, pending.write, message.revision)
         case _cas_writes.Outcome.SEND_AGAIN:
             return [pending.write]
     state.pending = None
@@ -337,20 +339,20 @@
 
 
 def _queue_manifest(state: SnapshotState, manifest: Manifest) -> None:
-    state.following = manifest
+    state.next_manifest = manifest
     key = manifest_key(state.shard)
     state.queue.append((key, encode_manifest(manifest)))
 
 
-def _finish(
+def _complete_write(
     state: SnapshotState, write: _cas_writes.WriteBatch, revision: int
 ) -> list[object]:
     state.revisions[write.key] = revision
     state.pending = None
-    if state.queue or state.following is None:
+    if state.queue or state.next_manifest is None:
         return []
-    state.manifest = state.following
-    state.following = None
+    state.manifest = state.next_manifest
+    state.next_manifest = None
     outputs: list[object] = []
     if state.fenced:
         base_seq = state.manifest.base_seq
@@ -358,9 +360,9 @@
     else:
         state.fenced = True
         outputs.append(Fenced())
-    if state.waiting is not None:
-        _begin(state, state.waiting)
-        state.waiting = None
+    if state.waiting_snapshot is not None:
+        _start_snapshot(state, state.waiting_snapshot)
+        state.waiting_snapshot = None
     return outputs
 
 
--- a/chestnuttide/coordination/_state.py
+++ b/chestnuttide/coordination/_state.py
@@ -8,8 +8,8 @@
 from chestnuttide.coordination import _messages
 from chestnuttide.coordination import _rendezvous
 
-# Until a lease is this close to its end, its renewal is not yet called
-# overdue; with a TTL of 2 s and renewals every 0.6 s, one may fail.
+# Renewal is overdue once less than this share of the TTL is left. With a TTL
+# of 2 s and renewals every 0.6 s, this tolerates one failed renewal.
 OVERDUE_SHARE: typing.Final = 0.35
 
 
@@ -22,26 +22,26 @@
     promise_s : float
         Promise time in seconds.
     pause_s : float
-        Seconds without a tick after which this instance was paused.
+        Seconds without a tick after which this instance counts as paused.
     backlog_s : float
-        Seconds that it takes after a pause to read what has piled up.
+        Seconds after a pause within which queued messages are processed.
     max_voters : int
-        Most voters.
+        Maximum number of voters.
     max_moves : int
-        Most shards that are given up at a time.
+        Maximum number of shards released at the same time.
     move_retry_s : float
-        Seconds after which a shard that was not given up is named again.
+        Seconds after which the release of a shard is requested again.
     min_hold_s : float
-        Seconds that a shard stays before it may move again.
+        Seconds for which a shard is owned before it may move again.
     claim_step_s : float
-        Seconds that each less preferred member waits longer to claim.
+        Claim delay in seconds per rank of a less preferred member.
     request_retry_s : float
         Seconds after which an unanswered message is sent again.
     write_retry_s : float
-        Seconds between two writes of one key that do not succeed.
+        Seconds before a failed write of a key is retried.
     voters_step_s : float
-        Seconds that a change of voters waits, and that each less preferred
-        member waits longer to propose it.
+        Seconds before a change of voters is proposed, and additional delay
+        in seconds per rank of a less preferred member.
     """
 
     promise_s: float = 3.0
@@ -58,8 +58,8 @@
 
 
 @attrs.define(kw_only=True)
-class Known:
-    """What is known of a shard's record.
+class KnownRecord:
+    """The newest known record of a shard.
 
     Attributes
     ----------
@@ -67,20 +67,20 @@
         The newest record seen.
     revision : int
         Its store revision.
-    learned_at : float
-        Monotonic time, in seconds, when it was seen.
+    seen_at : float
+        Monotonic time, in seconds, at which it was first seen.
     previous : ShardRecord or None
         The newest record of a lower epoch, if one was seen.
     """
 
     record: _messages.ShardRecord
     revision: int
-    learned_at: float
+    seen_at: float
     previous: _messages.ShardRecord | None = None
 
 
 @attrs.define(kw_only=True)
-class Held:
+class HeldShard:
     """A shard that this instance owns.
 
     Attributes
@@ -92,18 +92,18 @@
     session : int
         Id of the lease under which the record was written.
     acquired_at : float
-        Monotonic time, in seconds, when it was acquired.
+        Monotonic time, in seconds, at which it was acquired.
     promised_until : float
-        End of the uninterrupted time for which a majority of the voters
-        promised, beginning while the lease was valid.
+        End of the unbroken period promised by a majority of the voters. The
+        period starts while the lease is valid.
     promises : dict of str to float
-        Until when each voter's last promise may be relied on.
+        Time until which the last promise of each voter is usable.
     releasing : bool
-        Whether the shard is being given up.
+        Whether the shard is being released.
     residual : dict of str to tuple of float
         See `ShardRecord`.
-    move_asked_at : float
-        When `ShouldRelease` was last sent.
+    release_requested_at : float
+        Monotonic time, in seconds, of the last `ShouldRelease`.
     """
 
     epoch: int
@@ -114,11 +114,11 @@
     promises: dict[str, float] = attrs.field(factory=dict)
     releasing: bool = False
     residual: dict[str, tuple[float, ...]] = attrs.field(factory=dict)
-    move_asked_at: float = float("-inf")
+    release_requested_at: float = float("-inf")
 
 
 @attrs.define(kw_only=True)
-class Given:
+class GivenPromise:
     """A promise that this voter has given for one shard.
 
     Attributes
@@ -138,16 +138,16 @@
 
 @attrs.define(kw_only=True)
 class Claim:
-    """A claim that this instance pursues.
+    """A claim on a shard that this instance is attempting.
 
     Attributes
     ----------
     revision : int
         Store revision of the record to replace; 0 when there is none.
     since : float
-        Monotonic time, in seconds, since when the shard can be claimed.
+        Monotonic time, in seconds, from which the shard can be claimed.
     consents : dict of str to float
-        Until when the consent of each voter counts.
+        Time until which the consent of each voter is valid.
     """
 
     revision: int
@@ -156,13 +156,13 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class Asked:
-    """A request to a voter that may still be answered.
+class PendingRequest:
+    """A request to a voter whose reply is still useful.
 
     Attributes
     ----------
     sent_at : float
-        Monotonic time, in seconds, when it was handed out for sending.
+        Monotonic time, in seconds, at which it was issued for sending.
     version : int
         Version of the voters that it named.
     shards : dict of str to int
@@ -176,75 +176,75 @@
 
 @attrs.define(kw_only=True)
 class OwnershipState:
-    """Everything that one instance knows about ownership.
+    """Ownership state of one instance.
 
     Attributes
     ----------
     instance_id : str
         Id of this instance.
     incarnation : str
-        Unique string of this start of the instance.
+        String that is unique to this run of the instance.
     started_at : float
         Monotonic time, in seconds, of this start.
     settings : OwnershipSettings
         Times and limits.
     ticked_at : float
-        Monotonic time, in seconds, of the last tick; infinite before it.
+        Monotonic time, in seconds, of the last tick; infinite before one.
     backlog_until : float
-        Until when messages may be old, because they waited during a pause.
+        Time until which messages may be stale after being queued in a pause.
     lease : Lease or None
-        The lease; None before the first grant and after its loss.
+        The lease; None before the first grant and after it is lost.
     store_reachable : bool
         Whether the last store calls were answered.
     draining : bool
-        Whether this instance gives all its shards up.
+        Whether this instance is releasing all its shards.
     desired : frozenset of str
         The shards that should have owners.
     records_read : bool
-        Whether the shard records were read since the start.
-    records : dict of str to Known
+        Whether the shard records were read since this instance started.
+    records : dict of str to KnownRecord
         The newest record of each shard.
-    held : dict of str to Held
+    held : dict of str to HeldShard
         The shards owned by this instance.
     members : dict of str to Member, or None
-        The members; None before they were read.
-    members_at : float
-        When the last read of the members was sent.
+        The members by instance id; None before the first read.
+    members_sent_at : float
+        Monotonic time, in seconds, at which `members` was requested.
     peers : frozenset of str
-        Connected instances.
+        Ids of the connected instances.
     gone_since : dict of str to float
-        When each instance was first seen as gone in the platform's list.
+        Time at which the platform first listed each instance as gone.
     voters : VotersRead or None
-        The voters; None before they were read.
-    bound_version : int
+        The voters; None before the first read.
+    min_voters_version : int
         Promises and consents under lower versions are refused.
-    given : dict of str to Given
-        Promises given, by shard.
+    given_promises : dict of str to GivenPromise
+        Promises of this voter, by shard.
     consented : dict of str to int
         Highest record revision consented to, by shard.
     claims : dict of str to Claim
-        Claims that are pursued, by shard.
+        Claims being attempted, by shard.
     writing : dict of str to str
         Id of the write in flight, by shard.
-    write_after : dict of str to float
-        When the next write of a shard's key may be sent.
-    asked : dict of int to Asked
-        Requests that may still be answered, by number.
-    promise_ask_at : dict of str to float
-        When each voter is asked for a promise again.
-    consent_ask_at : dict of tuple to float
-        When the voters are asked again for consent to claims, by owner and
-        incarnation.
-    voters_since : float or None
-        Since when the voters need a change.
-    voters_write_at : float
-        When the voters key may be written again.
+    next_write_at : dict of str to float
+        Time of the next permitted write, by shard.
+    pending_requests : dict of int to PendingRequest
+        Requests whose replies are still useful, by request id.
+    next_promise_request_at : dict of str to float
+        Time of the next promise request to each voter.
+    next_consent_request_at : dict of tuple to float
+        Time of the next consent request, by owner and incarnation of the
+        shards to claim.
+    voters_outdated_since : float or None
+        Time from which the set of voters has needed a change.
+    next_voters_write_at : float
+        Time of the next permitted write of the voters key.
     acks : set of str
         Voters that acknowledged the proposal in the voters key.
-    propose_at : float
-        When the proposal is sent again.
+    next_proposal_at : float
+        Time at which the proposal is sent again.
     last_number : int
-        Last number used in a request or a write id.
+        Last number used in a request id or a write id.
     """
 
     instance_id: str
@@ -258,26 +258,28 @@
     draining: bool = False
     desired: frozenset[str] = frozenset()
     records_read: bool = False
-    records: dict[str, Known] = attrs.field(factory=dict)
-    held: dict[str, Held] = attrs.field(factory=dict)
+    records: dict[str, KnownRecord] = attrs.field(factory=dict)
+    held: dict[str, HeldShard] = attrs.field(factory=dict)
     members: dict[str, _messages.Member] | None = None
-    members_at: float = float("-inf")
+    members_sent_at: float = float("-inf")
     peers: frozenset[str] = frozenset()
     gone_since: dict[str, float] = attrs.field(factory=dict)
     voters: _messages.VotersRead | None = None
-    bound_version: int = 0
-    given: dict[str, Given] = attrs.field(factory=dict)
+    min_voters_version: int = 0
+    given_promises: dict[str, GivenPromise] = attrs.field(factory=dict)
     consented: dict[str, int] = attrs.field(factory=dict)
     claims: dict[str, Claim] = attrs.field(factory=dict)
     writing: dict[str, str] = attrs.field(factory=dict)
-    write_after: dict[str, float] = attrs.field(factory=dict)
-    asked: dict[int, Asked] = attrs.field(factory=dict)
-    promise_ask_at: dict[str, float] = attrs.field(factory=dict)
-    consent_ask_at: dict[tuple[str, str], float] = attrs.field(factory=dict)
-    voters_since: float | None = None
-    voters_write_at: float = float("-inf")
+    next_write_at: dict[str, float] = attrs.field(factory=dict)
+    pending_requests: dict[int, PendingRequest] = attrs.field(factory=dict)
+    next_promise_request_at: dict[str, float] = attrs.field(factory=dict)
+    next_consent_request_at: dict[tuple[str, str], float] = attrs.field(
+        factory=dict
+    )
+    voters_outdated_since: float | None = None
+    next_voters_write_at: float = float("-inf")
     acks: set[str] = attrs.field(factory=set)
-    propose_at: float = float("-inf")
+    next_proposal_at: float = float("-inf")
     last_number: int = 0
 
 
@@ -299,13 +301,13 @@
     )
 
 
-def covered(state: OwnershipState, held: Held, now: float) -> bool:
-    """Return whether the lease or promises keep others from claiming."""
+def covered(state: OwnershipState, held: HeldShard, now: float) -> bool:
+    """Return whether a lease or promises protect a shard from claims."""
     return leased(state, held, now) or now < held.promised_until
 
 
-def leased(state: OwnershipState, held: Held, now: float) -> bool:
-    """Return whether the record is of the current lease, which is valid."""
+def leased(state: OwnershipState, held: HeldShard, now: float) -> bool:
+    """Return whether the record belongs to a valid current lease."""
     return (
         state.lease is not None
         and state.lease.lease_id == held.session
@@ -328,13 +330,13 @@
 
 
 def next_number(state: OwnershipState) -> int:
-    """Return a number that was not used since the start."""
+    """Return a number that was not used since this instance started."""
     state.last_number += 1
     return state.last_number
 
 
 def next_write_id(state: OwnershipState) -> str:
-    """Return a write id that no instance used before."""
+    """Return a write id that is unique among all instances."""
     number = next_number(state)
     return f"{state.instance_id}/{state.incarnation}/{number}"
 
@@ -356,7 +358,7 @@
 
 
 def candidates(state: OwnershipState) -> set[str]:
-    """Return the members that take shards."""
+    """Return the ids of the members that accept shards."""
     ids = {
         one.instance_id
         for one in (state.members or {}).values()
@@ -368,27 +370,27 @@
     return ids
 
 
-def turn(key: str, ids: set[str], instance_id: str) -> int:
-    """Return the place of an instance in the ranking for a key, from 0."""
+def rank_of(key: str, ids: set[str], instance_id: str) -> int:
+    """Return the rank of an instance for a key, counted from 0."""
     ranking = _rendezvous.rank(key, ids | {instance_id})
     return ranking.index(instance_id)
 
 
-def drift_s(state: OwnershipState) -> float:
-    """Return the promise time plus the margin for a slower peer's clock."""
+def promise_wait_s(state: OwnershipState) -> float:
+    """Return the promise time plus a margin for a slower peer clock."""
     return state.settings.promise_s * (1.0 + _lease.CLOCK_MARGIN)
 
 
 def counts_as_gone(state: OwnershipState, voter: str, now: float) -> bool:
     """Return whether a voter is gone and its last promise has ended.
 
-    The list may name an instance as gone just after it gave a promise, so one
-    promise time must pass first.
+    The platform may list an instance as gone just after the instance gave a
+    promise, so one promise time must pass first.
     """
     since = state.gone_since.get(voter)
     return (
         since is not None
-        and now >= since + drift_s(state)
+        and now >= since + promise_wait_s(state)
         and voter != state.instance_id
         and voter not in state.peers
         and voter not in (state.members or {})
--- a/chestnuttide/coordination/_voters.py
+++ b/chestnuttide/coordination/_voters.py
@@ -1,35 +1,39 @@
-"""The voters: their first set and the changes of the set."""
+"""The set of voters: its first choice and later changes."""
 
 from chestnuttide.coordination import _messages
 from chestnuttide.coordination import _promises
 from chestnuttide.coordination import _rendezvous
 from chestnuttide.coordination import _state
 
-# Key of the rendezvous order in which members propose changes and are chosen.
+# Key that ranks the members, both as proposers of changes and as voters.
 RANKING_KEY = "voters"
 
 
-def learn(state: _state.OwnershipState, voters: _messages.VotersRead) -> None:
-    """Take note of the voters key; older ones than known are ignored."""
+def update_voters(
+    state: _state.OwnershipState, voters: _messages.VotersRead
+) -> None:
+    """Store the voters key as read unless a newer revision is known."""
     known = state.voters
     if known is not None and voters.revision <= known.revision:
         return
     if known is None and voters.next_ids:
-        # This instance may have acknowledged the proposal before it started.
-        state.bound_version = max(state.bound_version, voters.version + 1)
-    state.bound_version = max(state.bound_version, voters.version)
+        # This instance may have acknowledged the proposal before a restart.
+        state.min_voters_version = max(
+            state.min_voters_version, voters.version + 1
+        )
+    state.min_voters_version = max(state.min_voters_version, voters.version)
     state.voters = voters
-    state.voters_since = None
+    state.voters_outdated_since = None
     state.acks.clear()
-    state.propose_at = float("-inf")
+    state.next_proposal_at = float("-inf")
     if known is not None and known.version != voters.version:
-        # Majorities are counted within one version.
+        # Promises and consents form a majority only within one version.
         for held in state.held.values():
             held.promises.clear()
         for claim in state.claims.values():
             claim.consents.clear()
-        state.promise_ask_at.clear()
-        state.consent_ask_at.clear()
+        state.next_promise_request_at.clear()
+        state.next_consent_request_at.clear()
 
 
 def acknowledge(
@@ -37,10 +41,10 @@
     proposal: _messages.VotersProposal,
     now: float,
 ) -> _messages.VotersAck | None:
-    """Give up the current version of the voters, or return None.
+    """Acknowledge a proposal to replace the voters, or return None.
 
-    It is given up only without a promise outstanding, and this instance then
-    votes under the new version only.
+    The current version is given up only without an outstanding promise; from
+    then on this instance votes only under the new version.
     """
     voters = state.voters
     if (
@@ -48,11 +52,11 @@
         or proposal.version != voters.version + 1
         or state.instance_id not in voters.ids
         or state.instance_id in state.gone_since
-        or now < state.started_at + _state.drift_s(state)
-        or _promises.outstanding(state, now)
+        or now < state.started_at + _state.promise_wait_s(state)
+        or _promises.has_outstanding_promise(state, now)
     ):
         return None
-    state.bound_version = max(state.bound_version, proposal.version)
+    state.min_voters_version = max(state.min_voters_version, proposal.version)
     return _messages.VotersAck(
         proposer_incarnation=proposal.proposer_incarnation,
         voter=state.instance_id,
@@ -61,8 +65,8 @@
     )
 
 
-def take_ack(state: _state.OwnershipState, ack: _messages.VotersAck) -> None:
-    """Take note of an acknowledgement of the proposal in the voters key."""
+def record_ack(state: _state.OwnershipState, ack: _messages.VotersAck) -> None:
+    """Record an acknowledgement of the proposal in the voters key."""
     voters = state.voters
     if (
         voters is not None
@@ -74,8 +78,8 @@
         state.acks.add(ack.voter)
 
 
-def step(state: _state.OwnershipState, now: float) -> list[object]:
-    """Return the proposals and writes of the voters key that are due."""
+def plan_outputs(state: _state.OwnershipState, now: float) -> list[object]:
+    """Return the proposals and the writes of the voters key that are due."""
     voters = state.voters
     if (
         voters is None
@@ -84,34 +88,34 @@
         or not _state.may_write(state, now)
     ):
         return []
-    wanted = _wanted(state, voters)
-    if not voters.next_ids and set(wanted) == set(voters.ids):
-        state.voters_since = None
+    chosen = _choose_voters(state, voters)
+    if not voters.next_ids and set(chosen) == set(voters.ids):
+        state.voters_outdated_since = None
         return []
-    if state.voters_since is None:
-        state.voters_since = now
-    place = _state.turn(
+    if state.voters_outdated_since is None:
+        state.voters_outdated_since = now
+    rank = _state.rank_of(
         RANKING_KEY, _state.candidates(state), state.instance_id
     )
-    delay = place * state.settings.voters_step_s
+    delay = rank * state.settings.voters_step_s
     if voters.version and not voters.next_ids:
-        # Instances that start together are added in one change.
+        # Waits so that instances that start together join in one change.
         delay += state.settings.voters_step_s
-    if now < state.voters_since + delay:
+    if now < state.voters_outdated_since + delay:
         return []
     if voters.version == 0:
-        return _write(state, 1, wanted, (), now)
+        return _make_write(state, 1, chosen, (), now)
     gone = state.gone_since.keys()
     if not voters.next_ids or not gone.isdisjoint(voters.next_ids):
-        if wanted and set(wanted) != set(voters.next_ids):
-            return _write(state, voters.version, voters.ids, wanted, now)
-    return _pursue(state, voters, now)
+        if chosen and set(chosen) != set(voters.next_ids):
+            return _make_write(state, voters.version, voters.ids, chosen, now)
+    return _advance_proposal(state, voters, now)
 
 
-def _wanted(
+def _choose_voters(
     state: _state.OwnershipState, voters: _messages.VotersRead
 ) -> tuple[str, ...]:
-    """Return the voters that are not gone, filled up with live members."""
+    """Return the voters that are not gone, topped up with other members."""
     kept = [one for one in voters.ids if one not in state.gone_since]
     kept = kept[: state.settings.max_voters]
     others = _state.candidates(state) - set(kept) - state.gone_since.keys()
@@ -120,14 +124,14 @@
     return tuple(sorted([*kept, *added]))
 
 
-def _pursue(
+def _advance_proposal(
     state: _state.OwnershipState,
     voters: _messages.VotersRead,
     now: float,
 ) -> list[object]:
     outputs: list[object] = []
-    if now >= state.propose_at:
-        state.propose_at = now + state.settings.request_retry_s
+    if now >= state.next_proposal_at:
+        state.next_proposal_at = now + state.settings.request_retry_s
         proposal = _messages.VotersProposal(
             proposer=state.instance_id,
             proposer_incarnation=state.incarnation,
@@ -140,7 +144,7 @@
             if voter == state.instance_id:
                 ack = acknowledge(state, proposal, now)
                 if ack is not None:
-                    take_ack(state, ack)
+                    record_ack(state, ack)
             elif voter in state.peers:
                 outputs.append(_messages.Send(to=voter, message=proposal))
     count = sum(
@@ -149,23 +153,23 @@
     )
     if count >= _state.majority(len(voters.ids)):
         outputs.extend(
-            _write(state, voters.version + 1, voters.next_ids, (), now)
+            _make_write(state, voters.version + 1, voters.next_ids, (), now)
         )
     return outputs
 
 
-def _write(
+def _make_write(
     state: _state.OwnershipState,
     version: int,
     ids: tuple[str, ...],
     next_ids: tuple[str, ...],
     now: float,
 ) -> list[object]:
-    if now < state.voters_write_at or not ids:
+    if now < state.next_voters_write_at or not ids:
         return []
-    # The driver reads the key after the write; until then, or when that
-    # fails, the same write is sent again after some time.
-    state.voters_write_at = now + state.settings.promise_s / 3
+    # The driver reads the key after the write. Until that read succeeds, the
+    # write is repeated at this interval.
+    state.next_voters_write_at = now + state.settings.promise_s / 3
     assert state.voters is not None
     return [
         _messages.WriteVoters(
