--- a/chestnuttide/coordination/_cas_writes.py
+++ b/chestnuttide/coordination/_cas_writes.py
@@ -1,9 +1,9 @@
-"""A CAS write to the store until its outcome is known.
+"""Tracks a CAS write to the store until its outcome is known.
 
-A write whose answer is lost, or that meets a conflict, is resolved by reading
-the key back: its write id tells whether the write took effect. If it did not,
-it may still do so later; the same write is sent again, and the CAS lets only
-one of the two take effect.
+If the answer is lost or reports a conflict, the key is read back: its write id
+shows whether the write took effect. A write that has not taken effect may
+still do so later. The same write is therefore sent again, and the CAS lets
+only one of the two take effect.
 """
 
 import enum
@@ -23,7 +23,7 @@
     key : str
         The key.
     expected_revision : int
-        Revision that the key must have; 0 when it must be absent.
+        Revision that the key must have; 0 if it must be absent.
     value : bytes
         The value.
     write_id : str
@@ -70,7 +70,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WriteConflict:
-    """A write met another revision than it expected.
+    """The key had a revision other than the write expected.
 
     Attributes
     ----------
@@ -83,7 +83,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WriteUnanswered:
-    """A write, or the read that resolves it, was not answered.
+    """A write, or the read that resolves it, got no answer.
 
     Attributes
     ----------
@@ -103,11 +103,11 @@
     write_id : str
         Id of the write that is being resolved.
     revision : int
-        Revision of the key; 0 when there is no key.
+        Revision of the key; 0 if it does not exist.
     entry_write_id : str
         Id of the last write of the key.
     value : bytes or None
-        Value of the key; None when there is no key.
+        Value of the key; None if it does not exist.
     """
 
     write_id: str
@@ -117,7 +117,7 @@
 
 
 class Outcome(enum.Enum):
-    """What reading a key back tells about the write of it."""
+    """Outcome of a write, as found by reading its key back."""
 
     TOOK_EFFECT = enum.auto()
     SEND_AGAIN = enum.auto()
@@ -135,7 +135,7 @@
     resolving : bool
         Whether it is being resolved by reading the key back.
     next_read_at : float
-        When the key is read again if no answer comes.
+        Time at which the read is repeated if it gets no answer.
     """
 
     write: WriteBatch
@@ -157,7 +157,7 @@
 
 
 def handle_unanswered(pending: PendingWrite, now: float) -> list[object]:
-    """Go on after the write, or the read that resolves it, got no answer."""
+    """Resolve a write that got no answer, or schedule a repeated read."""
     if pending.resolving:
         pending.next_read_at = now + READ_RETRY_S
         return []
@@ -165,14 +165,14 @@
 
 
 def retry_read(pending: PendingWrite | None, now: float) -> list[object]:
-    """Read the key once more if the last read got no answer in time."""
+    """Repeat the read if the last one got no answer in time."""
     if pending is None or not pending.resolving or now < pending.next_read_at:
         return []
     return read_back(pending, now)
 
 
 def resolve(pending: PendingWrite, message: ReadBack) -> Outcome:
-    """Return what the key that was read back says about the write."""
+    """Return the outcome of the write, given the key as read back."""
     if message.entry_write_id == pending.write.write_id:
         return Outcome.TOOK_EFFECT
     if message.revision == pending.write.expected_revision:
--- a/chestnuttide/coordination/_journal.py
+++ b/chestnuttide/coordination/_journal.py
@@ -1,11 +1,12 @@
-"""The journal of one shard: events, committed in groups by CAS.
+"""The journal of one shard: events that are committed in batches by CAS.
 
-Batch number `seq` goes to slot ``seq % ring_size`` of a ring of store keys and
-expects the revision that the slot had when this owner took over or last wrote
-it. One write is in flight at a time, so a batch is written only after the one
-before it. A successor seals the journal by writing the next slot with its own
-epoch: whichever of the two writes comes second fails. Hence no event of an
-older epoch follows the seal.
+Batch number `seq` goes to slot ``seq % ring_size`` of a ring of store keys.
+Its CAS expects the revision that the slot had when this owner took over or
+last wrote the slot. Only one write is in flight at a time, so each batch is
+written after the previous one. A successor seals the journal by writing the
+next slot with its own epoch. If the former owner writes that slot too, the
+later of the two writes fails. Hence no event of an older epoch follows the
+seal.
 
 `_cas_writes` resolves a write whose answer is lost.
 """
@@ -23,15 +24,15 @@
 from chestnuttide import pipes
 
 RING_SIZE: typing.Final = 1024
-# Values of the store hold up to 1 MB; half of that leaves room for encoding.
+# Half of the store's limit of 1 MB for a value; the rest allows for encoding.
 MAX_BATCH_BYTES: typing.Final = 512_000
-# Bytes that CBOR adds at most to each event of a batch.
+# Upper bound of the bytes that CBOR adds to each event of a batch.
 EVENT_OVERHEAD_BYTES: typing.Final = 9
-# Share of the ring after which a snapshot is due; the rest of the ring is
-# there for the batches that are written until the snapshot is complete.
+# Share of the ring after which a snapshot is due. The rest takes the batches
+# that are written until the snapshot is complete.
 SNAPSHOT_SHARE: typing.Final = 0.5
-# Share of the ring that is kept free for seals: each successor that fails
-# before its first snapshot uses one slot.
+# Share of the ring that is reserved for seals, because each successor that
+# fails before its first snapshot uses one slot.
 SEAL_RESERVE_SHARE: typing.Final = 0.125
 
 
@@ -42,14 +43,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Append:
-    """Add an event.
+    """Append an event to the journal.
 
     Attributes
     ----------
     event : bytes
-        The encoded event; at most `MAX_BATCH_BYTES` less the overhead.
+        The encoded event; at most `MAX_BATCH_BYTES` minus the overhead.
     token : int
-        Number by which `Durable` reports the event.
+        Number that identifies the event in `Durable`.
     """
 
     event: bytes
@@ -58,7 +59,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class WriteBudget:
-    """Writes are granted, in answer to `BudgetWanted`.
+    """Permission for writes, in answer to `BudgetWanted`.
 
     Attributes
     ----------
@@ -71,12 +72,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SnapshotTaken:
-    """The driver answers `SnapshotDue`.
+    """The driver's answer to `SnapshotDue`.
 
     Attributes
     ----------
     data : bytes
-        The state after all events that were appended so far.
+        The state after all events appended so far.
     """
 
     data: bytes
@@ -97,17 +98,17 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class BudgetWanted:
-    """A write waits for a token of the instance's bucket."""
+    """A write is waiting for a token from the instance's token bucket."""
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Durable:
-    """Events are in the store.
+    """Events are committed to the store.
 
     Attributes
     ----------
     tokens : tuple of int
-        Their tokens, in the order of the events.
+        Tokens of the events, in order.
     """
 
     tokens: tuple[int, ...]
@@ -115,7 +116,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Sealed:
-    """The seal of this owner's epoch is in the store.
+    """The seal of this owner's epoch is committed to the store.
 
     Attributes
     ----------
@@ -128,7 +129,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SealConflict:
-    """The slot of the seal was written meanwhile; recover the shard again."""
+    """Another write took the seal's slot; recover the shard again."""
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -154,12 +155,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Deposed:
-    """Another owner has written; this one may act no more."""
+    """Another owner has written, so this one must stop acting."""
 
 
 @attrs.define(kw_only=True)
 class SnapshotMark:
-    """Place of a snapshot among the pending events.
+    """Position of a snapshot among the pending events.
 
     Attributes
     ----------
@@ -210,19 +211,19 @@
     ring_size : int
         Number of slots.
     max_batch_bytes : int
-        Most bytes of a batch.
+        Maximum size of a batch.
     sealed : bool
         Whether the seal is written.
     deposed : bool
-        Whether another owner has written; nothing is written any more.
+        Whether another owner has written; this owner then writes nothing.
     budget : int
-        Writes that are granted and not used.
+        Writes that are granted but not yet used.
     budget_requested : bool
-        Whether `BudgetWanted` is not answered yet.
+        Whether `BudgetWanted` awaits an answer.
     snapshot_requested : bool
         Whether a snapshot is being taken or written.
     pending : deque of Append or SnapshotMark
-        Events that are not in a batch yet.
+        Events that are not yet in a batch, and snapshots among them.
     in_flight : InFlight or None
         The write in flight.
     """
@@ -264,12 +265,12 @@
 
 
 def decode_batch(value: bytes) -> tuple[int, int, list[bytes]]:
-    """Return number, epoch and events of a batch.
+    """Return the number, the epoch and the events of a batch.
 
     Raises
     ------
     errors.ProtocolError
-        If the value is no batch.
+        If the value is not a batch.
     """
     try:
         items = cbor2.loads(value)
@@ -290,9 +291,9 @@
 def make_journal_filter(*, state: JournalState) -> pipes.Filter:
     """Return the filter that commits the events of one shard.
 
-    The first batch is the seal; it is written at once. Events are appended
-    only after `Sealed`, and a snapshot that is due before that is of the
-    state as recovered.
+    The first batch is the seal, which is written immediately. Events may be
+    appended only after `Sealed`; a snapshot that is due before then contains
+    the recovered state.
 
     Parameters
     ----------
@@ -302,7 +303,7 @@
     Returns
     -------
     Filter
-        Takes `JournalTick`, `Append`, `WriteBudget`, `WriteSucceeded`,
+        Accepts `JournalTick`, `Append`, `WriteBudget`, `WriteSucceeded`,
         `WriteConflict`, `WriteUnanswered`, `ReadBack`, `SnapshotTaken` and
         `SnapshotWritten`. Returns `BudgetWanted`, `WriteBatch`, `ReadKey`,
         `Sealed`, `SealConflict`, `Durable`, `SnapshotDue`, `SnapshotReady`
@@ -356,7 +357,7 @@
     pending = _pending(state)
     if not _cas_writes.is_pending(pending, message.write_id):
         return []
-    # The write itself may have caused the conflict when it was sent twice.
+    # If the write was sent twice, its first copy may have caused the conflict.
     return _cas_writes.read_back(pending, now)
 
 
@@ -444,8 +445,8 @@
     if state.deposed or state.in_flight is not None:
         return outputs
     used = state.next_seq - state.base_seq
-    # A full ring has no slot for the seal: then what was recovered is first
-    # written as a snapshot, which is right whether or not the seal succeeds.
+    # A full ring has no slot for the seal, so the recovered state is first
+    # written as a snapshot, which is valid whether or not the seal succeeds.
     full = used >= state.ring_size
     while (state.sealed or full) and state.pending:
         first = state.pending[0]
@@ -459,7 +460,7 @@
         outputs.append(SnapshotDue())
     if state.sealed and not state.pending:
         return outputs
-    # Without this limit a batch would replace one that no snapshot covers.
+    # Without this limit, a batch could overwrite one that no snapshot covers.
     reserved_slots = (
         math.ceil(state.ring_size * SEAL_RESERVE_SHARE) if state.sealed else 0
     )
@@ -510,6 +511,6 @@
 
 def _malformed() -> errors.ProtocolError:
     return errors.ProtocolError(
-        message="A slot of the journal holds an unknown value.",
+        message="A journal slot contains a value that cannot be decoded.",
         remedy="Check which versions of the program use this store.",
     )
--- a/chestnuttide/coordination/_ledger.py
+++ b/chestnuttide/coordination/_ledger.py
@@ -1,10 +1,10 @@
-"""The ledger of non-idempotent request ids: each runs at most once.
+"""The ledger of non-idempotent requests, each of which runs at most once.
 
-An id is dispatched only after its intent is durable in the shard's journal. A
-successor therefore knows of each id that may have run: one with an intent and
-without an outcome has an unknown outcome, one without an intent never ran.
-Ids are forgotten some time after their last change, unless the request is
-still in progress.
+A request is dispatched only after its intent is durable in the shard's
+journal. A successor therefore knows every request id that may have run: with
+an intent but no outcome, the outcome is unknown; without an intent, the
+request never ran. An id is dropped some time after its last change, unless
+the request is still in progress.
 """
 
 import collections
@@ -19,11 +19,11 @@
 
 REMEMBER_S: typing.Final = 900.0
 
-# First item of the ledger's events; other events of a journal use others.
+# First item of each ledger event; other journal events use other numbers.
 INTENT_EVENT: typing.Final = 1
 OUTCOME_EVENT: typing.Final = 2
 
-# Status in an outcome event of a request that was refused without running.
+# Status in the outcome event of a request that was refused before it ran.
 NOT_RUN_STATUS: typing.Final = 0
 
 
@@ -46,7 +46,7 @@
 
 @attrs.define(kw_only=True)
 class LedgerEntry:
-    """What the ledger knows of one id.
+    """Ledger entry of one request id.
 
     Attributes
     ----------
@@ -55,11 +55,11 @@
     changed_at : float
         Monotonic time, in seconds, of the last change.
     journalled : bool
-        Whether an event with the id was appended to the journal.
+        Whether an event with the id has been appended to the journal.
     token : int
-        Token of the intent event in the journal; -1 without one.
+        Token of the intent event in the journal; -1 if there is none.
     status : int
-        HTTP status of the target's answer; 0 before it.
+        HTTP status of the target's answer; 0 until it arrives.
     """
 
     state: RequestState
@@ -71,14 +71,14 @@
 
 @attrs.define(kw_only=True)
 class LedgerState:
-    """The ids of one shard.
+    """Ledger of one shard.
 
     Attributes
     ----------
     remember_s : float
-        Seconds for which an id is remembered after its last change.
+        Seconds for which an id is kept after its last change.
     entries : OrderedDict of str to LedgerEntry
-        The ids, the one that changed longest ago first.
+        Entries by request id, the least recently changed first.
     """
 
     remember_s: float = REMEMBER_S
@@ -90,13 +90,13 @@
 def begin(
     ledger: LedgerState, request_id: str, now: float
 ) -> RequestState | None:
-    """Accept an id for its first use.
+    """Accept a request id unless it is already in use.
 
     Returns
     -------
     RequestState or None
-        None when the id is new and now accepted; otherwise the state of its
-        first use, and nothing may run.
+        None if the id is new and is now accepted. Otherwise the state of the
+        earlier request, and the new one must not run.
     """
     expire(ledger, now)
     entry = ledger.entries.get(request_id)
@@ -115,8 +115,8 @@
 ) -> bytes:
     """Return the event that records intents for accepted ids.
 
-    The event must be appended to the journal at once: from now on a snapshot
-    of the ledger contains the ids.
+    The caller must append the event to the journal immediately, because
+    snapshots of the ledger contain the ids from now on.
 
     Parameters
     ----------
@@ -137,16 +137,16 @@
 def record_intent(
     ledger: LedgerState, request_id: str, token: int, now: float
 ) -> bool:
-    """Note that an id's intent is durable, and return whether it may be sent.
+    """Record that an intent is durable and return whether to send it.
 
-    The token tells the intent apart from that of an earlier use of the id,
-    which was refused before its intent was durable: that intent is followed
-    by a refusal in the journal and so does not protect this use.
+    The token distinguishes the intent from that of an earlier request with
+    the same id, which was refused before its intent was durable. In the
+    journal a refusal follows that intent, so it does not protect this request.
 
     Returns
     -------
     bool
-        False when the request was refused or dropped in the meantime.
+        False if the request was refused or dropped in the meantime.
     """
     entry = ledger.entries.get(request_id)
     if entry is None or entry.state is not RequestState.ACCEPTED:
@@ -158,9 +158,9 @@
 
 
 def mark_sent(ledger: LedgerState, request_id: str, now: float) -> bool:
-    """Note that an id is being sent, and return whether it may be.
+    """Record that a request is being sent, and return whether it may be.
 
-    Called immediately before the first byte is handed to a connection.
+    Called immediately before the first byte is passed to a connection.
     """
     entry = ledger.entries.get(request_id)
     if entry is None or entry.state is not RequestState.INTENT_RECORDED:
@@ -170,9 +170,9 @@
 
 
 def mark_unsent(ledger: LedgerState, request_id: str, now: float) -> None:
-    """Note that no byte of a sent id was handed to a connection.
+    """Record that no byte of a request was passed to a connection.
 
-    The id may be sent again, for example to another target.
+    The request may be sent again, for example to another target.
     """
     entry = ledger.entries.get(request_id)
     if entry is not None and entry.state is RequestState.SENT:
@@ -184,7 +184,7 @@
 def mark_answered(
     ledger: LedgerState, request_id: str, status: int, now: float
 ) -> None:
-    """Note the target's answer, with its HTTP status."""
+    """Record the HTTP status of the target's answer."""
     entry = ledger.entries.get(request_id)
     if entry is not None and entry.state in (
         RequestState.SENT,
@@ -195,7 +195,7 @@
 
 
 def mark_unknown(ledger: LedgerState, request_id: str, now: float) -> None:
-    """Note that no answer came for a sent id, which may have run."""
+    """Record that a sent request got no answer and may have run."""
     entry = ledger.entries.get(request_id)
     if entry is not None and entry.state is RequestState.SENT:
         _set_state(
@@ -204,19 +204,19 @@
 
 
 def refuse(ledger: LedgerState, request_id: str) -> bool:
-    """Forget an id that was not sent and will not be.
+    """Drop a request that was not sent and will not be.
 
     Returns
     -------
     bool
-        Whether its intent is in the journal, in which case an outcome event
-        with `NOT_RUN_STATUS` is to be appended. Without that event a
-        successor takes the outcome for unknown.
+        Whether its intent is in the journal. If so, an outcome event with
+        `NOT_RUN_STATUS` must be appended; without it, a successor treats the
+        outcome as unknown.
 
     Raises
     ------
     errors.ProtocolError
-        If the id was sent.
+        If the request was sent.
     """
     entry = _require_entry(ledger, request_id)
     if entry.state not in (
@@ -250,13 +250,13 @@
 def state_of(
     ledger: LedgerState, request_id: str, now: float
 ) -> LedgerEntry | None:
-    """Return what is known of an id, or None."""
+    """Return the entry of a request id, or None."""
     expire(ledger, now)
     return ledger.entries.get(request_id)
 
 
 def expire(ledger: LedgerState, now: float) -> None:
-    """Forget ids whose time is over, in constant time per id on average."""
+    """Drop ids that have expired, in amortized constant time per id."""
     entries = ledger.entries
     while entries:
         request_id, entry = next(iter(entries.items()))
@@ -265,16 +265,16 @@
         if entry.state in _FINAL_STATES:
             del entries[request_id]
         else:
-            # Still in progress: an id must not be forgotten while it may run.
+            # An id must not be dropped while its request may still run.
             entry.changed_at = now
             entries.move_to_end(request_id)
 
 
 def encode_ledger(ledger: LedgerState, now: float) -> bytes:
-    """Return the part of a snapshot that holds the ledger.
+    """Return the encoded ledger for a snapshot.
 
-    Ids whose intent was not appended to the journal are left out: they were
-    not sent.
+    Ids whose intent was not appended to the journal are omitted, because
+    their requests were not sent.
     """
     expire(ledger, now)
     return cbor2.dumps(
@@ -297,20 +297,20 @@
     now: float,
     remember_s: float = REMEMBER_S,
 ) -> LedgerState:
-    """Return the ledger of a successor.
+    """Return the ledger that a successor recovers.
 
     Parameters
     ----------
     snapshot : bytes or None
         From `encode_ledger`.
     events : iterable of bytes
-        Events of the journal after the snapshot; others than the ledger's
-        are passed over. Their age is unknown, so their ids are remembered
-        from now on.
+        Journal events after the snapshot; those that are not ledger events
+        are skipped. Their age is unknown, so the time for which their ids are
+        kept starts at `now`.
     now : float
         Monotonic time in seconds.
     remember_s : float
-        Seconds for which an id is remembered.
+        Seconds for which an id is kept after its last change.
 
     Raises
     ------
@@ -378,7 +378,7 @@
     if entry is None:
         raise errors.ProtocolError(
             message=f"Request {request_id} is not in the ledger.",
-            remedy="Call begin first.",
+            remedy="Call begin_request first.",
         )
     return entry
 
--- a/chestnuttide/coordination/_recovery.py
+++ b/chestnuttide/coordination/_recovery.py
@@ -12,7 +12,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StoredEntry:
-    """A key of the store, as recovery needs it.
+    """A key of the store as read for recovery.
 
     Attributes
     ----------
@@ -31,24 +31,24 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Recovery:
-    """What a successor starts from.
+    """State from which a successor continues.
 
     Attributes
     ----------
     snapshot : bytes or None
-        The last snapshot; None when there is none.
+        The last snapshot; None if there is none.
     events : tuple of bytes
-        The events after it, oldest first.
+        The events after the snapshot, oldest first.
     next_seq : int
         Number of the next batch, which becomes the seal.
     last_epoch : int
-        Highest epoch in the journal and the manifest; 0 without both.
+        Highest epoch in the journal and the manifest; 0 if both are absent.
     manifest : Manifest
-        The manifest in force.
+        The manifest in effect.
     ring_revisions : dict of int to int
         Revision of each written slot of the ring.
     snapshot_revisions : dict of str to int
-        Revision of each key of the snapshots.
+        Revision of each snapshot key.
     """
 
     snapshot: bytes | None
@@ -68,18 +68,18 @@
     ring: collections.abc.Iterable[StoredEntry],
     ring_size: int = _journal.RING_SIZE,
 ) -> Recovery:
-    """Return what a successor starts from.
+    """Return the state from which a successor continues.
 
-    The manifest is read first, then the chunks, then the ring; a snapshot
-    that is completed in between makes this fail or leaves the older one
-    usable.
+    The caller reads the manifest first, then the chunks, then the ring. If a
+    snapshot is completed in between, either this fails or the older snapshot
+    is still usable.
 
     Parameters
     ----------
     shard : str
         Name of the shard.
     manifest : StoredEntry or None
-        The manifest's key.
+        The manifest's key; None if it does not exist.
     chunks : iterable of StoredEntry
         All other keys below `snapshot_prefix`.
     ring : iterable of StoredEntry
@@ -90,8 +90,8 @@
     Raises
     ------
     errors.ProtocolError
-        If the keys do not fit together, for example because the former owner
-        was still writing; they are to be read again.
+        If the keys are inconsistent, for example because the former owner
+        was still writing. The caller then reads them again.
     """
     stored = list(chunks)
     current = _snapshots.Manifest(epoch=0)
@@ -145,7 +145,7 @@
     ring_size: int = _journal.RING_SIZE,
     max_batch_bytes: int = _journal.MAX_BATCH_BYTES,
 ) -> _journal.JournalState:
-    """Return the journal's state for a successor that has not sealed yet.
+    """Return the journal state of a successor that has not sealed yet.
 
     Parameters
     ----------
@@ -154,7 +154,7 @@
     epoch : int
         Epoch of the ownership.
     recovery : Recovery
-        What was recovered.
+        The recovered state.
     make_write_id : function
         Returns a write id that was never used before.
     ring_size, max_batch_bytes : int
@@ -167,7 +167,7 @@
     """
     if recovery.last_epoch > epoch:
         raise errors.DeposedError(
-            message=f"The journal of {shard} has a higher epoch.",
+            message=f"The journal of {shard} contains a higher epoch.",
             remedy="Read the shard's record again.",
         )
     return _journal.JournalState(
@@ -190,7 +190,7 @@
     make_write_id: collections.abc.Callable[[], str],
     max_chunk_bytes: int = _snapshots.MAX_CHUNK_BYTES,
 ) -> _snapshots.SnapshotState:
-    """Return the snapshots' state for a successor that has not fenced yet.
+    """Return the snapshot state of a successor that has not fenced yet.
 
     Parameters
     ----------
--- a/chestnuttide/coordination/_snapshots.py
+++ b/chestnuttide/coordination/_snapshots.py
@@ -1,14 +1,14 @@
 """Snapshots of a shard: chunks in two generations, and a manifest.
 
-The manifest names the generation whose chunks are valid. The chunks of the
-other generation are overwritten first, then the manifest's CAS makes them
-valid, so that a crash in between leaves the former snapshot in force. Chunks
-carry the writer's epoch and are written by CAS too, so a former owner cannot
-replace a chunk of its successor.
-
-A successor first writes the manifest again with its own epoch (the *fence*),
-before it overwrites any chunk. Otherwise a delayed manifest of the former
-owner could make a generation valid that the successor has half overwritten.
+The manifest names the generation whose chunks are valid. A new snapshot first
+overwrites the chunks of the other generation; the CAS of the manifest then
+makes them valid. A crash in between leaves the previous snapshot in effect.
+Chunks carry the writer's epoch and are also written by CAS, so a former owner
+cannot overwrite a chunk of its successor.
+
+Before it overwrites any chunk, a successor rewrites the manifest with its own
+epoch (the *fence*). Otherwise a delayed manifest write of the former owner
+could make a generation valid that the successor has partly overwritten.
 """
 
 import collections
@@ -24,7 +24,7 @@
 from chestnuttide import errors
 from chestnuttide import pipes
 
-# Values of the store hold up to 1 MB.
+# Below the store's limit of 1 MB for a value.
 MAX_CHUNK_BYTES: typing.Final = 512_000
 MANIFEST_NAME: typing.Final = "manifest"
 
@@ -40,7 +40,7 @@
     generation : int
         Generation of the chunks, 0 or 1.
     chunks : int
-        Number of chunks; 0 when there is no snapshot yet.
+        Number of chunks; 0 if there is no snapshot yet.
     base_seq : int
         First batch of the journal that the snapshot does not cover.
     checksum : int
@@ -61,7 +61,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ManifestConflict:
-    """The manifest was written meanwhile; recover the shard again."""
+    """Another write changed the manifest; recover the shard again."""
 
 
 @attrs.define(kw_only=True)
@@ -75,23 +75,23 @@
     epoch : int
         Epoch of the ownership.
     manifest : Manifest
-        The manifest in force.
+        The manifest in effect.
     revisions : dict of str to int
         Revision of each key below ``snapshot/<shard>/``.
     make_write_id : function
         Returns a write id that was never used before.
     max_chunk_bytes : int
-        Most bytes of a chunk.
+        Maximum size of a chunk.
     fenced : bool
         Whether the manifest carries this owner's epoch.
     deposed : bool
         Whether another owner has written the manifest.
     queue : deque of (str, bytes)
-        Keys and values still to write, the manifest last.
+        Keys and values that remain to be written, the manifest last.
     next_manifest : Manifest or None
         The manifest that is being written.
     waiting_snapshot : SnapshotReady or None
-        A snapshot that is written after the manifest in flight.
+        Snapshot to write once the manifest in flight is written.
     pending : PendingWrite or None
         The write in flight.
     """
@@ -138,7 +138,7 @@
     Raises
     ------
     errors.ProtocolError
-        If the value is no chunk.
+        If the value is not a chunk.
     """
     try:
         items = cbor2.loads(value)
@@ -168,12 +168,12 @@
 
 
 def decode_manifest(value: bytes) -> Manifest:
-    """Return the manifest in its key.
+    """Return the manifest that is encoded in its key's value.
 
     Raises
     ------
     errors.ProtocolError
-        If the value is no manifest.
+        If the value is not a manifest.
     """
     try:
         items = cbor2.loads(value)
@@ -205,10 +205,10 @@
     Returns
     -------
     Filter
-        Takes `JournalTick` (the first one writes the fence), `SnapshotReady`,
+        Accepts `JournalTick` (the first writes the fence), `SnapshotReady`,
         `WriteSucceeded`, `WriteConflict`, `WriteUnanswered` and `ReadBack`.
         Returns `WriteBatch`, `ReadKey`, `Fenced`, `ManifestConflict`,
-        `SnapshotWritten` (to be given to the journal) and `Deposed`. Raises
+        `SnapshotWritten` (to be passed to the journal) and `Deposed`. Raises
         `TypeError` for an unknown message.
     """
 
@@ -308,7 +308,7 @@
     key = pending.write.key
     is_chunk = key != manifest_key(state.shard)
     if is_chunk and _chunk_epoch(message.value) <= state.epoch:
-        # A delayed chunk of a former owner; it is replaced.
+        # Overwrites a chunk that a delayed write of a former owner left.
         state.revisions[key] = message.revision
         state.queue.appendleft((key, pending.write.value))
         return []
@@ -382,6 +382,6 @@
 
 def _malformed() -> errors.ProtocolError:
     return errors.ProtocolError(
-        message="A key of a snapshot holds an unknown value.",
+        message="A snapshot key contains a value that cannot be decoded.",
         remedy="Check which versions of the program use this store.",
     )
