--- a/chestnuttide/coordination/__init__.py
+++ b/chestnuttide/coordination/__init__.py
@@ -1,13 +1,13 @@
-"""Leases, ownership of shards, their journal and the ledger of request ids.
+"""Leases, shard ownership, the shards' journals and the request ledger.
 
-Everything here is pure: messages and a monotonic time go in, messages come
-out, and a driver carries them out. See `_ownership` for why two instances
-never both act for a shard, and for the contract that the driver keeps.
+Nothing in this package performs I/O. Filters take messages and a monotonic
+time and return messages, which a driver executes. `_ownership` explains why
+two instances never act for the same shard at once, and what the driver must
+guarantee.
 
 Examples
 --------
-Ownership. Each output is carried out by the driver, and its result is fed
-back in:
+Shard ownership. The driver executes each output and feeds the result back:
 
 >>> from chestnuttide import coordination
 >>> state = coordination.make_ownership_state(
@@ -42,8 +42,8 @@
 False
 
 The journal of an acquired shard. The driver reads the shard's keys, fences the
-snapshots, seals the journal, and then appends; `BudgetWanted` is answered when
-the instance's token bucket has a token:
+snapshots, seals the journal and then appends events. It answers `BudgetWanted`
+when the instance's token bucket has a token:
 
 >>> recovery = coordination.plan_recovery(
 ...     shard="workers/main", manifest=None, chunks=(), ring=()
--- a/chestnuttide/coordination/_messages.py
+++ b/chestnuttide/coordination/_messages.py
@@ -1,8 +1,8 @@
-"""Messages of shard ownership, and the records that the store keeps for it.
+"""Messages of shard ownership and the records that are kept in the store.
 
-The six classes from `PromiseRequest` to `VotersAck` travel between instances,
-so they hold only strings, numbers, booleans and tuples, and durations instead
-of times.
+The six classes from `PromiseRequest` to `VotersAck` are sent between
+instances. They therefore contain only strings, numbers, booleans and tuples,
+and durations instead of points in time.
 """
 
 import attrs
@@ -23,16 +23,16 @@
     owner : str
         Instance id of the owner.
     incarnation : str
-        Which start of that instance owns it.
+        Incarnation of the owner.
     session : int
         Id of the store lease under which the owner wrote the record.
     epoch : int
-        Number of the change of owner, from 1.
+        Number of the ownership period, counted from 1.
     state : str
         ``held`` or ``released``.
     residual : dict of str to tuple of float
-        For a released shard, the seconds that each slot still in use may stay
-        in use, by target, counted from the release. A successor counts them
+        For a released shard, the seconds after the release for which each
+        occupied slot may remain occupied, by target. A successor counts them
         from when it reads the record, which is later.
     """
 
@@ -72,9 +72,9 @@
     instance_id : str
         Id of the instance.
     incarnation : str
-        Which start of the instance holds the key.
+        Incarnation of the instance that created the key.
     leaving : bool
-        Whether it takes no further shards.
+        Whether the instance accepts no more shards.
     """
 
     instance_id: str
@@ -108,7 +108,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class LeaseLost:
-    """The store answered that the lease does not exist any more."""
+    """The store answered that the lease no longer exists."""
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -118,7 +118,7 @@
     Attributes
     ----------
     reachable : bool
-        Whether they were.
+        Whether they were answered.
     """
 
     reachable: bool
@@ -160,13 +160,13 @@
     Attributes
     ----------
     version : int
-        Version of the voters; 0 when there is no key.
+        Version of the voters; 0 if there is no key.
     ids : tuple of str
         Instance ids of the voters.
     revision : int
-        Store revision of the key; 0 when there is no key.
+        Store revision of the key; 0 if there is no key.
     next_ids : tuple of str
-        Voters of the version that is proposed; empty when none is.
+        Voters of the proposed version; empty if none is proposed.
     """
 
     version: int
@@ -182,7 +182,7 @@
     Attributes
     ----------
     shards : frozenset of str
-        Names of all of them.
+        Names of all these shards.
     """
 
     shards: frozenset[str]
@@ -195,7 +195,7 @@
     Attributes
     ----------
     ids : frozenset of str
-        Ids of all instances that it lists as gone; replaces the former ones.
+        Ids of all instances listed as gone; replaces the previous set.
     """
 
     ids: frozenset[str]
@@ -208,7 +208,7 @@
     Attributes
     ----------
     ids : frozenset of str
-        Ids of all instances that are connected; replaces the former ones.
+        Ids of all connected instances; replaces the previous set.
     """
 
     ids: frozenset[str]
@@ -216,21 +216,21 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ClaimResult:
-    """A write of a shard record has ended.
+    """A write of a shard record has completed.
 
-    When the answer to the write was lost, the driver reads the key back until
-    it is answered; `ok` tells whether the key carries the write id.
+    If the answer to the write is lost, the driver reads the key back until a
+    read is answered; `ok` then tells whether the key has the write id.
 
     Attributes
     ----------
     shard : str
         Name of the shard.
     ok : bool
-        Whether the write is the last one of the key.
+        Whether this write is the last one of the key.
     record : ShardRecord or None
-        The record that the key now holds; None when there is no key.
+        The record that the key now contains; None if there is no key.
     revision : int
-        Store revision of the key; 0 when there is no key.
+        Store revision of the key; 0 if there is no key.
     write_id : str
         Id of the write.
     """
@@ -244,7 +244,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ReleaseRequested:
-    """The shard is stopped and flushed and may be given up.
+    """The shard is stopped and flushed and may be released.
 
     Attributes
     ----------
@@ -260,7 +260,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Drain:
-    """Stop: claim nothing more and give all shards up."""
+    """Claim no more shards and release all that are owned."""
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -278,7 +278,7 @@
     version : int
         Version of the voters that the owner knows.
     promise_s : float
-        Seconds asked for.
+        Requested duration in seconds.
     shards : tuple of (str, int)
         Name and record revision of each shard.
     """
@@ -306,7 +306,7 @@
     version : int
         Version of the voters under which it promises.
     promise_s : float
-        Seconds that it promises, from its receipt of the request.
+        Promised duration in seconds, from the receipt of the request.
     shards : tuple of str
         Names of the shards that it promises; empty for a refusal.
     """
@@ -365,7 +365,7 @@
     version : int
         Version of the voters under which it consents.
     valid_s : float
-        Seconds for which a restart of the voter cannot break the consent.
+        Seconds for which the consent survives a restart of the voter.
     shards : tuple of str
         Names of the shards that it consents to; empty for a refusal.
     """
@@ -431,7 +431,7 @@
     shard : str
         Name of the shard.
     expected_revision : int
-        Revision that the key must have; 0 when it must be absent.
+        Revision that the key must have; 0 if it must be absent.
     record : ShardRecord
         The new record.
     write_id : str
@@ -451,13 +451,13 @@
     Attributes
     ----------
     expected_revision : int
-        Revision that the key must have; 0 when it must be absent.
+        Revision that the key must have; 0 if it must be absent.
     version : int
         Version of the voters.
     ids : tuple of str
         Instance ids of the voters.
     next_ids : tuple of str
-        Voters of the version that is proposed; empty when none is.
+        Voters of the proposed version; empty if none is proposed.
     write_id : str
         Id of the write.
     """
@@ -496,7 +496,7 @@
     epoch : int
         Epoch of the ownership.
     previous : ShardRecord or None
-        Record of the former owner; None when there was none.
+        Record of the former owner; None if there was none.
     clean : bool
         Whether the former owner released the shard or there was none.
     """
@@ -509,7 +509,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ShardLost:
-    """The shard is not owned by this instance any more.
+    """The shard is no longer owned by this instance.
 
     Attributes
     ----------
@@ -535,7 +535,7 @@
     shard : str
         Name of the shard.
     to : str
-        Instance that should own it; empty when none is known.
+        Id of the instance that should own it; empty if none is known.
     """
 
     shard: str
--- a/chestnuttide/coordination/_records.py
+++ b/chestnuttide/coordination/_records.py
@@ -1,4 +1,4 @@
-"""Store keys of ownership and the encoding of their values."""
+"""Store keys of shard ownership and the encoding of their values."""
 
 import typing
 
@@ -38,12 +38,12 @@
 
 
 def decode_record(value: bytes) -> _messages.ShardRecord:
-    """Return the record in a shard's key.
+    """Return the record encoded in the value of a shard's key.
 
     Raises
     ------
     errors.ProtocolError
-        If the value is no shard record.
+        If the value is not a shard record.
     """
     owner, incarnation, session, epoch, state, residual = _items(value, 6)
     return _structure(
@@ -67,12 +67,12 @@
 
 
 def decode_member(value: bytes) -> _messages.Member:
-    """Return the member in a member's key.
+    """Return the member encoded in the value of a member's key.
 
     Raises
     ------
     errors.ProtocolError
-        If the value is no member.
+        If the value is not a member.
     """
     instance_id, incarnation, leaving = _items(value, 3)
     return _structure(
@@ -91,19 +91,19 @@
 
 
 def decode_voters(value: bytes | None, revision: int) -> _messages.VotersRead:
-    """Return the voters in their key.
+    """Return the voters encoded in the value of the voters key.
 
     Parameters
     ----------
     value : bytes or None
-        The value; None when there is no key.
+        The value; None if there is no key.
     revision : int
-        Store revision of the key; ignored when there is no key.
+        Store revision of the key; ignored if there is no key.
 
     Raises
     ------
     errors.ProtocolError
-        If the value is no set of voters.
+        If the value is not a set of voters.
     """
     if value is None:
         return _messages.VotersRead(version=0, ids=(), revision=0)
@@ -133,11 +133,11 @@
     if kind is float and isinstance(value, int):
         return float(value)
     if not isinstance(value, kind):
-        raise TypeError(f"{value!r} is no {kind.__name__}")
+        raise TypeError(f"{value!r} is not of type {kind.__name__}")
     return value
 
 
-# The default converter turns any value into a string or a truth value.
+# The default converter would coerce any value to a string or a boolean.
 _CONVERTER: typing.Final = cattrs.Converter()
 for _kind in (bool, float, int, str):
     _CONVERTER.register_structure_hook(_kind, _strict)
@@ -152,6 +152,6 @@
 
 def _malformed() -> errors.ProtocolError:
     return errors.ProtocolError(
-        message="A store key of the coordination holds an unknown value.",
+        message="A coordination key in the store cannot be decoded.",
         remedy="Check which versions of the program use this store.",
     )
--- a/chestnuttide/coordination/_rendezvous.py
+++ b/chestnuttide/coordination/_rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: which member should own a key.
+"""Rendezvous hashing, which assigns keys to members.
 
 Every instance computes the same ranking from the same members. When a member
-leaves, only the keys that it ranked first for move.
+leaves, only the keys for which it ranked first move.
 """
 
 import collections.abc
@@ -17,7 +17,7 @@
     key : str
         The key, for example the name of a shard.
     members : iterable of str
-        Ids of the members, in any order; repeated ids count once.
+        Ids of the members, in any order; duplicates are ignored.
 
     Returns
     -------
@@ -28,7 +28,7 @@
 
 
 def preferred(key: str, members: collections.abc.Iterable[str]) -> str | None:
-    """Return the most preferred member for a key, or None without members."""
+    """Return the preferred member for a key, or None if there are none."""
     return min(set(members), key=lambda one: _order(key, one), default=None)
 
 
@@ -40,6 +40,6 @@
 
 
 def _order(key: str, member: str) -> tuple[int, str]:
-    # The length keeps ("ab", "c") and ("a", "bc") apart.
+    # The length distinguishes ("ab", "c") from ("a", "bc").
     text = f"{len(key)}:{key}{member}"
     return (-xxhash.xxh64_intdigest(text.encode()), member)
--- a/chestnuttide/coordination/_tokens.py
+++ b/chestnuttide/coordination/_tokens.py
@@ -1,4 +1,4 @@
-"""A token bucket, for example for the store writes of one instance."""
+"""A token bucket, which limits for example the store writes of an instance."""
 
 import attrs
 
@@ -12,9 +12,9 @@
     rate_per_s : float
         Tokens added per second.
     burst : float
-        Most tokens that the bucket holds.
+        Maximum number of tokens in the bucket.
     tokens : float
-        Tokens that it held at `updated_at`.
+        Tokens in the bucket at `updated_at`.
     updated_at : float
         Monotonic time, in seconds, of the last update.
     """
@@ -31,9 +31,9 @@
     Parameters
     ----------
     rate_per_s : float
-        Tokens added per second; above 0.
+        Tokens added per second; greater than 0.
     burst : float
-        Most tokens that the bucket holds; at least 1.
+        Maximum number of tokens in the bucket; at least 1.
     now : float
         Monotonic time in seconds.
     """
@@ -43,8 +43,8 @@
 
 
 def take(bucket: TokenBucket, now: float, count: float = 1.0) -> bool:
-    """Take tokens if there are enough, and return whether there were."""
-    _fill(bucket, now)
+    """Take `count` tokens if available, and return whether they were."""
+    _refill(bucket, now)
     if bucket.tokens < count:
         return False
     bucket.tokens -= count
@@ -52,14 +52,14 @@
 
 
 def wait_s(bucket: TokenBucket, now: float, count: float = 1.0) -> float:
-    """Return the seconds until `count` tokens are there; 0 if they are."""
-    _fill(bucket, now)
+    """Return the seconds until `count` tokens are available, or 0."""
+    _refill(bucket, now)
     return max(0.0, (count - bucket.tokens) / bucket.rate_per_s)
 
 
-def _fill(bucket: TokenBucket, now: float) -> None:
-    passed = max(0.0, now - bucket.updated_at)
+def _refill(bucket: TokenBucket, now: float) -> None:
+    elapsed_s = max(0.0, now - bucket.updated_at)
     bucket.tokens = min(
-        bucket.burst, bucket.tokens + passed * bucket.rate_per_s
+        bucket.burst, bucket.tokens + elapsed_s * bucket.rate_per_s
     )
     bucket.updated_at = max(bucket.updated_at, now)
--- a/chestnuttide/coordination/tests/ownership_world.py
+++ b/chestnuttide/coordination/tests/ownership_world.py
@@ -1,4 +1,4 @@
-"""Simulated instances, store and network for the tests of ownership."""
+"""Simulated instances, store and network for the ownership tests."""
 
 import collections.abc
 import heapq
@@ -16,7 +16,7 @@
 CALL_TIMEOUT_S = 0.5
 LIST_LAG_S = 2.0
 FIRST_START_S = 0.05
-MOST_LATE_S = 4.0
+MAX_LATE_S = 4.0
 
 Callback = collections.abc.Callable[[object], None]
 
@@ -74,7 +74,7 @@
     nodes = {}
     for number in range(count):
         name = f"n{number}"
-        # Rates of two clocks differ by less than the margin of 10%.
+        # The rates of two clocks differ by less than the margin of 10%.
         nodes[name] = Node(
             name=name,
             rate=rng.uniform(0.97, 1.03),
@@ -88,7 +88,7 @@
         slow=slow,
     )
     for node in nodes.values():
-        at(
+        schedule(
             world,
             rng.uniform(0, FIRST_START_S),
             lambda n=node: start(world, n),
@@ -96,7 +96,9 @@
     return world
 
 
-def at(world: World, delay: float, action: collections.abc.Callable) -> None:
+def schedule(
+    world: World, delay: float, action: collections.abc.Callable
+) -> None:
     heapq.heappush(world.queue, (world.now + delay, next(world.order), action))
 
 
@@ -112,27 +114,27 @@
 def run_disturbed(
     world: World, end: float, late: float, changes_per_s: float
 ) -> None:
-    """Like `run_until`, with actions that come late and many short faults.
+    """Run like `run_until`, but delay some actions and toggle faults often.
 
     Parameters
     ----------
     world : World
         The world.
     end : float
-        Time to stop at.
+        Simulated time, in seconds, at which to stop.
     late : float
-        Share of the actions that come up to `MOST_LATE_S` late.
+        Share of the actions that are delayed by up to `MAX_LATE_S`.
     changes_per_s : float
-        Rate of faults.
+        Fault changes per second.
     """
     rng = world.rng
     change_at = world.now
-    # Uneven shares of the kinds reach states that even shares hardly reach.
+    # Uneven weights of the kinds reach states that equal weights rarely reach.
     weights = [rng.random() ** 2 for _ in _CHANGES]
     while world.queue and world.queue[0][0] <= end and not world.violations:
         world.now, _, action = heapq.heappop(world.queue)
         if rng.random() < late:
-            at(world, rng.uniform(0, MOST_LATE_S), action)
+            schedule(world, rng.uniform(0, MAX_LATE_S), action)
             continue
         action()
         while change_at < world.now:
@@ -142,11 +144,11 @@
             change(world, rng.choice(nodes), rng.choice(nodes))
 
 
-def _lose_store(world: World, node: Node, other: Node) -> None:
+def _toggle_store(world: World, node: Node, other: Node) -> None:
     node.no_store = 1 - node.no_store
 
 
-def _block(world: World, node: Node, other: Node) -> None:
+def _toggle_link(world: World, node: Node, other: Node) -> None:
     if other != node:
         world.blocked ^= {frozenset((node.name, other.name))}
 
@@ -156,14 +158,14 @@
     start(world, node)
 
 
-def _halt(world: World, node: Node, other: Node) -> None:
+def _toggle_pause(world: World, node: Node, other: Node) -> None:
     if node.paused:
         resume(world, node)
     else:
         pause(world, node)
 
 
-_CHANGES = (_lose_store, _block, _restart, _halt)
+_CHANGES = (_toggle_store, _toggle_link, _restart, _toggle_pause)
 
 
 def clock(world: World, node: Node) -> float:
@@ -194,12 +196,12 @@
         now=clock(world, node),
     )
     node.run = coordination.make_ownership_filter(state=node.state)
-    feed(world, node, coordination.DesiredShards(shards=world.shards))
-    feed(world, node, peers_of(world, node))
-    life = node.starts
-    _loop(world, node, life, TICK_S, _tick)
-    _loop(world, node, life, READ_S, _read_all)
-    _lease_loop(world, node, life)
+    deliver(world, node, coordination.DesiredShards(shards=world.shards))
+    deliver(world, node, peers_of(world, node))
+    incarnation = node.starts
+    _repeat(world, node, incarnation, TICK_S, _tick)
+    _repeat(world, node, incarnation, READ_S, _read_all)
+    _lease_loop(world, node, incarnation)
 
 
 def crash(world: World, node: Node) -> None:
@@ -231,80 +233,89 @@
 
 
 def on_node(
-    world: World, node: Node, life: int, action: collections.abc.Callable
+    world: World,
+    node: Node,
+    incarnation: int,
+    action: collections.abc.Callable,
 ) -> None:
-    """Run an action of a process unless that process has ended."""
-    if not node.up or node.starts != life:
+    """Run an action of an incarnation unless that incarnation has ended."""
+    if not node.up or node.starts != incarnation:
         return
     if node.paused:
-        node.backlog.append(lambda: on_node(world, node, life, action))
+        node.backlog.append(lambda: on_node(world, node, incarnation, action))
         return
     action()
 
 
-def feed(world: World, node: Node, message: object) -> None:
+def deliver(world: World, node: Node, message: object) -> None:
     for output in node.run(message, clock(world, node)):
-        _carry_out(world, node, output)
+        _execute(world, node, output)
     for shard in world.shards:
         names = acting(world, shard)
         if len(names) > 1:
             world.violations.append((world.now, shard, names, message))
 
 
-def _loop(
-    world: World, node: Node, life: int, every: float, action: object
+def _repeat(
+    world: World,
+    node: Node,
+    incarnation: int,
+    interval_s: float,
+    action: object,
 ) -> None:
     def again() -> None:
         action(world, node)
-        at(world, every, lambda: on_node(world, node, life, again))
+        schedule(
+            world, interval_s, lambda: on_node(world, node, incarnation, again)
+        )
 
-    at(
+    schedule(
         world,
-        world.rng.uniform(0, every),
-        lambda: on_node(world, node, life, again),
+        world.rng.uniform(0, interval_s),
+        lambda: on_node(world, node, incarnation, again),
     )
 
 
 def _tick(world: World, node: Node) -> None:
-    feed(world, node, peers_of(world, node))
+    deliver(world, node, peers_of(world, node))
     gone = frozenset(world.listed_gone)
-    feed(world, node, coordination.InstancesGone(ids=gone))
+    deliver(world, node, coordination.InstancesGone(ids=gone))
 
 
 def _read_all(world: World, node: Node) -> None:
     def records(answer: object) -> None:
         if answer is not None:
-            feed(world, node, coordination.ShardRecordsRead(records=answer))
+            deliver(world, node, coordination.ShardRecordsRead(records=answer))
 
     def members(answer: object) -> None:
         if answer is not None:
-            feed(
+            deliver(
                 world,
                 node,
                 coordination.MembersRead(members=answer, sent_at=sent_at),
             )
 
     sent_at = clock(world, node)
-    call(world, node, _op_records(world), records)
-    call(world, node, _op_members(world), members)
+    call_store(world, node, _make_records_read(world), records)
+    call_store(world, node, _make_members_read(world), members)
     _read_voters(world, node)
 
 
 def _read_voters(world: World, node: Node) -> None:
     def done(answer: object) -> None:
         if answer is not None:
-            feed(world, node, answer)
+            deliver(world, node, answer)
 
     def operation() -> coordination.VotersRead:
         value, revision, _ = world.keys.get("voters", (None, 0, ""))
         return coordination.decode_voters(value, revision)
 
-    call(world, node, operation, done)
+    call_store(world, node, operation, done)
 
 
-def _lease_loop(world: World, node: Node, life: int) -> None:
+def _lease_loop(world: World, node: Node, incarnation: int) -> None:
     def later(delay: float) -> None:
-        at(world, delay, lambda: on_node(world, node, life, step))
+        schedule(world, delay, lambda: on_node(world, node, incarnation, step))
 
     def step() -> None:
         sent_at = clock(world, node)
@@ -316,11 +327,11 @@
             if answer == 0:
                 if node.lease_id:
                     node.lease_id = 0
-                    feed(world, node, coordination.LeaseLost())
+                    deliver(world, node, coordination.LeaseLost())
                 later(RENEW_S / 3)
                 return
             node.lease_id = answer
-            feed(
+            deliver(
                 world,
                 node,
                 coordination.LeaseRenewed(
@@ -329,12 +340,12 @@
             )
             later(RENEW_S)
 
-        call(world, node, _op_lease(world, node), renewed)
+        call_store(world, node, _make_lease_call(world, node), renewed)
 
     step()
 
 
-def _op_lease(world: World, node: Node) -> collections.abc.Callable:
+def _make_lease_call(world: World, node: Node) -> collections.abc.Callable:
     lease_id, name = node.lease_id, node.name
     member = coordination.Member(
         instance_id=name,
@@ -366,7 +377,7 @@
         del world.leases[key]
 
 
-def _op_records(world: World) -> collections.abc.Callable:
+def _make_records_read(world: World) -> collections.abc.Callable:
     def operation() -> tuple:
         return tuple(
             coordination.ReadRecord(
@@ -381,7 +392,7 @@
     return operation
 
 
-def _op_members(world: World) -> collections.abc.Callable:
+def _make_members_read(world: World) -> collections.abc.Callable:
     def operation() -> tuple:
         _expire(world)
         return tuple(member for _, member in world.leases.values())
@@ -389,14 +400,14 @@
     return operation
 
 
-def call(
+def call_store(
     world: World,
     node: Node,
     operation: collections.abc.Callable,
     done: Callback,
 ) -> None:
-    """Call the store; `done` gets the answer, or None without one."""
-    life = node.starts
+    """Call the store and pass `done` its answer, or None on a timeout."""
+    incarnation = node.starts
     state = {"open": True}
 
     def finish(answer: object) -> None:
@@ -404,7 +415,7 @@
             return
         state["open"] = False
         reachable = answer is not None
-        feed(world, node, coordination.StoreReachable(reachable=reachable))
+        deliver(world, node, coordination.StoreReachable(reachable=reachable))
         done(answer)
 
     def arrive() -> None:
@@ -412,17 +423,19 @@
             return
         answer = operation()
         if world.rng.random() >= world.loss:
-            at(
+            schedule(
                 world,
                 _delay(world),
-                lambda: on_node(world, node, life, lambda: finish(answer)),
+                lambda: on_node(
+                    world, node, incarnation, lambda: finish(answer)
+                ),
             )
 
-    at(world, _delay(world), arrive)
-    at(
+    schedule(world, _delay(world), arrive)
+    schedule(
         world,
         CALL_TIMEOUT_S,
-        lambda: on_node(world, node, life, lambda: finish(None)),
+        lambda: on_node(world, node, incarnation, lambda: finish(None)),
     )
 
 
@@ -432,8 +445,8 @@
     return world.rng.uniform(0.001, 0.01)
 
 
-def _carry_out(world: World, node: Node, output: object) -> None:
-    life = node.starts
+def _execute(world: World, node: Node, output: object) -> None:
+    incarnation = node.starts
     if isinstance(output, coordination.Send):
         _send(world, node, output)
     elif isinstance(output, coordination.WriteShardRecord):
@@ -444,11 +457,11 @@
         message = coordination.ReleaseRequested(
             shard=output.shard, residual={"t": (1.0,)}
         )
-        at(
+        schedule(
             world,
             0.1,
             lambda: on_node(
-                world, node, life, lambda: feed(world, node, message)
+                world, node, incarnation, lambda: deliver(world, node, message)
             ),
         )
     elif isinstance(output, coordination.ShardAcquired):
@@ -463,7 +476,7 @@
             continue
 
         def arrive() -> None:
-            # A message reaches whichever process then runs on the instance.
+            # The message reaches the incarnation that runs on arrival.
             if node.no_mesh or target.no_mesh:
                 return
             if frozenset((node.name, target.name)) in world.blocked:
@@ -472,10 +485,10 @@
                 world,
                 target,
                 target.starts,
-                lambda: feed(world, target, send.message),
+                lambda: deliver(world, target, send.message),
             )
 
-        at(world, _delay(world), arrive)
+        schedule(world, _delay(world), arrive)
 
 
 def _cas(
@@ -492,10 +505,10 @@
     world: World, node: Node, write: coordination.WriteShardRecord
 ) -> None:
     key = coordination.shard_key(write.shard)
-    life = node.starts
+    incarnation = node.starts
 
     def report(ok: bool, record: object, revision: int) -> None:
-        feed(
+        deliver(
             world,
             node,
             coordination.ClaimResult(
@@ -514,7 +527,7 @@
             read_back()
 
     def read_back() -> None:
-        call(
+        call_store(
             world,
             node,
             lambda: world.keys.get(key, (b"", 0, "")),
@@ -523,13 +536,17 @@
 
     def resolved(answer: object) -> None:
         if answer is None:
-            at(world, 0.1, lambda: on_node(world, node, life, read_back))
+            schedule(
+                world,
+                0.1,
+                lambda: on_node(world, node, incarnation, read_back),
+            )
             return
         value, revision, write_id = answer
         record = coordination.decode_record(value) if revision else None
         report(write_id == write.write_id, record, revision)
 
-    call(
+    call_store(
         world,
         node,
         lambda: _cas(
@@ -546,7 +563,7 @@
 def _write_voters(
     world: World, node: Node, write: coordination.WriteVoters
 ) -> None:
-    call(
+    call_store(
         world,
         node,
         lambda: _cas(
@@ -561,12 +578,12 @@
 
 
 def inject(world: World, fault: Fault) -> None:
-    """Plan a fault and its end."""
+    """Schedule the start and the end of a fault."""
     names = sorted(world.nodes)
     node = world.nodes[names[fault.node % len(names)]]
-    begin, end = _FAULTS[fault.kind]
-    at(world, fault.at, lambda: begin(world, node))
-    at(world, fault.at + fault.length, lambda: end(world, node))
+    start_fault, end_fault = _FAULTS[fault.kind]
+    schedule(world, fault.at, lambda: start_fault(world, node))
+    schedule(world, fault.at + fault.length, lambda: end_fault(world, node))
 
 
 def _kill(world: World, node: Node) -> None:
@@ -577,13 +594,13 @@
         return
     crash(world, node)
     node.gone = True
-    at(world, LIST_LAG_S, lambda: world.listed_gone.add(node.name))
+    schedule(world, LIST_LAG_S, lambda: world.listed_gone.add(node.name))
 
 
 def _drain(world: World, node: Node) -> None:
     if node.up and not node.paused:
         node.leaving = True
-        feed(world, node, coordination.Drain())
+        deliver(world, node, coordination.Drain())
 
 
 def _end_drain(world: World, node: Node) -> None:
@@ -592,38 +609,38 @@
         start(world, node)
 
 
-def _set_store_down(by: int) -> collections.abc.Callable:
+def _change_store_down(change_by: int) -> collections.abc.Callable:
     def change(world: World, node: Node) -> None:
-        world.store_down += by
+        world.store_down += change_by
 
     return change
 
 
-def _set_store_lost(by: int) -> collections.abc.Callable:
+def _change_no_store(change_by: int) -> collections.abc.Callable:
     def change(world: World, node: Node) -> None:
-        node.no_store += by
+        node.no_store += change_by
 
     return change
 
 
-def _set_mesh_lost(by: int) -> collections.abc.Callable:
+def _change_no_mesh(change_by: int) -> collections.abc.Callable:
     def change(world: World, node: Node) -> None:
-        node.no_mesh += by
+        node.no_mesh += change_by
 
     return change
 
 
-def _nothing(world: World, node: Node) -> None:
+def _no_action(world: World, node: Node) -> None:
     pass
 
 
 _FAULTS = {
     "crash": (crash, start),
     "drain": (_drain, _end_drain),
-    "kill": (_kill, _nothing),
-    "mesh": (_set_mesh_lost(1), _set_mesh_lost(-1)),
+    "kill": (_kill, _no_action),
+    "mesh": (_change_no_mesh(1), _change_no_mesh(-1)),
     "pause": (pause, resume),
-    "store": (_set_store_down(1), _set_store_down(-1)),
-    "store_of_one": (_set_store_lost(1), _set_store_lost(-1)),
+    "store": (_change_store_down(1), _change_store_down(-1)),
+    "store_of_one": (_change_no_store(1), _change_no_store(-1)),
 }
 FAULT_KINDS = tuple(sorted(_FAULTS))
--- a/chestnuttide/coordination/tests/test_basics.py
+++ b/chestnuttide/coordination/tests/test_basics.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing, token bucket, lease, record encoding, recovery."""
+"""Tests of rendezvous hashing, token buckets, leases, codecs and recovery."""
 
 import doctest
 
@@ -25,9 +25,11 @@
 @pytest.mark.parametrize(
     ("members", "count", "expected"),
     [
-        pytest.param([], 3, 0, id="no_members_fail"),
-        pytest.param(["a", "a", "b"], 3, 2, id="member_counted_twice"),
-        pytest.param(["a", "b", "c"], 2, 2, id="too_many_returned"),
+        pytest.param([], 3, 0, id="no_members_raises"),
+        pytest.param(
+            ["a", "a", "b"], 3, 2, id="duplicate_member_counted_twice"
+        ),
+        pytest.param(["a", "b", "c"], 2, 2, id="more_members_than_requested"),
     ],
 )
 def test_top_members(members: list, count: int, expected: int) -> None:
@@ -52,10 +54,12 @@
 @pytest.mark.parametrize(
     ("sent_at", "lease_id", "now", "expected"),
     [
-        pytest.param(1.0, 7, 2.79, True, id="ends_early"),
-        pytest.param(1.0, 7, 2.8, False, id="counted_from_the_answer"),
-        pytest.param(-1.0, 7, 1.79, True, id="late_answer_shortens"),
-        pytest.param(-1.0, 8, 1.0, False, id="other_lease_prolongs"),
+        pytest.param(1.0, 7, 2.79, True, id="expires_too_early"),
+        pytest.param(
+            1.0, 7, 2.8, False, id="validity_counted_from_the_answer"
+        ),
+        pytest.param(-1.0, 7, 1.79, True, id="late_answer_shortens_lease"),
+        pytest.param(-1.0, 8, 1.0, False, id="other_lease_extends_validity"),
     ],
 )
 def test_lease(
@@ -78,7 +82,7 @@
     ],
 )
 @pytest.mark.parametrize("value", [b"", b"\xff", b"\x80", b"\x83\x01\x02\x03"])
-def test_foreign_value_is_a_protocol_error(
+def test_undecodable_value_raises_protocol_error(
     decode: object, value: bytes
 ) -> None:
     with pytest.raises(errors.ProtocolError):
@@ -96,12 +100,17 @@
 @pytest.mark.parametrize(
     "ring",
     [
-        pytest.param([_batch(0, 1, 0), _batch(2, 1, 2)], id="gap"),
-        pytest.param([_batch(0, 2, 0), _batch(1, 1, 1)], id="old_epoch"),
-        pytest.param([_batch(1, 1, 0)], id="wrong_slot"),
+        pytest.param(
+            [_batch(0, 1, 0), _batch(2, 1, 2)], id="missing_batch_accepted"
+        ),
+        pytest.param(
+            [_batch(0, 2, 0), _batch(1, 1, 1)],
+            id="older_epoch_after_newer_accepted",
+        ),
+        pytest.param([_batch(1, 1, 0)], id="batch_in_wrong_slot_accepted"),
     ],
 )
-def test_recovery_refuses_keys_that_do_not_fit(ring: list) -> None:
+def test_recovery_rejects_inconsistent_keys(ring: list) -> None:
     with pytest.raises(errors.ProtocolError):
         coordination.plan_recovery(
             shard="s", manifest=None, chunks=(), ring=ring
@@ -111,9 +120,11 @@
 @pytest.mark.parametrize(
     ("data", "accepted"),
     [
-        pytest.param([b"one", b"two"], True, id="good_snapshot_refused"),
-        pytest.param([b"one", b"too"], False, id="chunk_of_another_snapshot"),
-        pytest.param([b"one"], False, id="chunk_missing"),
+        pytest.param([b"one", b"two"], True, id="valid_snapshot_rejected"),
+        pytest.param(
+            [b"one", b"too"], False, id="chunk_of_other_snapshot_accepted"
+        ),
+        pytest.param([b"one"], False, id="missing_chunk_accepted"),
     ],
 )
 def test_recovery_checks_the_snapshot(data: list, accepted: bool) -> None:
@@ -151,7 +162,7 @@
     assert (found.snapshot, found.next_seq) == (b"onetwo", 4)
 
 
-def test_journal_of_a_higher_epoch_is_not_continued() -> None:
+def test_journal_with_higher_epoch_is_not_continued() -> None:
     recovery = coordination.plan_recovery(
         shard="s", manifest=None, chunks=(), ring=[_batch(0, 5, 0)]
     )
@@ -162,5 +173,5 @@
         )
 
 
-def test_example_in_the_docstring_runs() -> None:
+def test_package_docstring_examples() -> None:
     assert doctest.testmod(coordination).failed == 0
--- a/chestnuttide/coordination/tests/test_journal_properties.py
+++ b/chestnuttide/coordination/tests/test_journal_properties.py
@@ -1,4 +1,4 @@
-"""The journal and its snapshots over a store that delays and loses answers."""
+"""Tests of journal and snapshots on a store that delays or loses answers."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 RING_SIZE = 16
 SHARD = "workers/main"
-# Calls are answered in random order, so a snapshot of many chunks takes long.
+# Calls are answered in random order, so a snapshot of many chunks is slow.
 SETTLE_ROUNDS = 400
 
 
@@ -58,7 +58,7 @@
 
 
 def _recover(world: World, between: int) -> coordination.Recovery | None:
-    """Read the shard's keys, with other things happening in between."""
+    """Read the shard's keys, running `between` steps after each read."""
     key = coordination.manifest_key(SHARD)
     found = [one for one in _entries(world, key) if one.key == key]
     _run(world, between)
@@ -95,7 +95,7 @@
             break
     if recovery is None:
         recovery = _recover(world, 0)
-    assert recovery is not None, "the keys of a quiet shard do not fit"
+    assert recovery is not None, "the keys of an idle shard are inconsistent"
     if recovery.last_epoch > epoch:
         return
     common = {
@@ -150,7 +150,7 @@
             world.snapshots += 1
             _feed(world, owner, owner.journal, output)
         else:
-            # Deposed, or the keys have changed since they were read.
+            # Deposed, or the keys changed after they were read.
             owner.alive = False
             if not isinstance(output, coordination.Deposed):
                 _take_over(world, owner.epoch, 0)
@@ -188,7 +188,7 @@
     for _ in range(steps):
         world.now += 0.1
         if rng.random() < 0.5 and world.owners:
-            # Former owners that do not know of it go on too.
+            # Former owners that were not told of the takeover also go on.
             _append(world, rng.choice(world.owners[-3:]))
         if rng.random() < 0.2 and world.owners:
             owner = rng.choice(world.owners[-3:])
@@ -200,7 +200,7 @@
         owner, run, call = world.calls[place]
         lost = coordination.WriteUnanswered(write_id=call.write_id)
         if rng.random() < world.loss:
-            # The call times out and is still on its way.
+            # The call times out but may still reach the store.
             _feed(world, owner, run, lost)
             continue
         del world.calls[place]
@@ -217,7 +217,7 @@
     tokens = [token for _, token in events]
     assert len(set(tokens)) == len(tokens), "an event is applied twice"
     assert set(world.durable) <= set(tokens), "a durable event is lost"
-    # The store has an epoch's seal before its owner knows of it.
+    # The store contains the seal of an epoch before the owner is told.
     for epoch, base in world.sealed_bases.items():
         assert events[: len(base)] == base
         assert all(one[0] >= epoch for one in events[len(base) :]), (
--- a/chestnuttide/coordination/tests/test_ledger.py
+++ b/chestnuttide/coordination/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: each id runs at most once."""
+"""Tests of the ledger: each request id runs at most once."""
 
 import collections
 import random
@@ -68,16 +68,20 @@
     ("action", "expected"),
     [
         pytest.param(_send_again, False, id="sent_twice"),
-        pytest.param(_unsent_then_send, True, id="unsent_is_not_retried"),
-        pytest.param(_answered_then_unsent, False, id="answered_sent_again"),
-        pytest.param(_begin_again, S.SENT, id="duplicate_id_runs"),
-        pytest.param(_unknown, S.OUTCOME_UNKNOWN, id="unknown_outcome_runs"),
-        pytest.param(_late_answer, 201, id="late_answer_is_dropped"),
         pytest.param(
-            _long_in_progress, S.SENT, id="id_in_progress_is_forgotten"
+            _unsent_then_send, True, id="unsent_request_is_not_retried"
         ),
         pytest.param(
-            _long_ended, (S.ANSWERED, None), id="ended_id_forgotten_early"
+            _answered_then_unsent, False, id="answered_request_sent_again"
+        ),
+        pytest.param(_begin_again, S.SENT, id="duplicate_id_runs_twice"),
+        pytest.param(
+            _unknown, S.OUTCOME_UNKNOWN, id="unknown_outcome_runs_again"
+        ),
+        pytest.param(_late_answer, 201, id="late_answer_dropped"),
+        pytest.param(_long_in_progress, S.SENT, id="id_in_progress_dropped"),
+        pytest.param(
+            _long_ended, (S.ANSWERED, None), id="ended_id_dropped_early"
         ),
     ],
 )
@@ -85,8 +89,12 @@
     assert action(_sent_ledger()) == expected
 
 
-def test_refused_intent_does_not_protect_a_later_use() -> None:
-    """The successor reads the refusal after the first intent."""
+def test_refused_intent_does_not_protect_a_reused_id() -> None:
+    """Guards against sending on an intent that a refusal follows.
+
+    A successor reads the refusal after the first intent, so only the second
+    intent shows that the reused id may have run.
+    """
     ledger = coordination.LedgerState()
     coordination.begin_request(ledger, "r", 0.0)
     coordination.make_intent_event(ledger, ["r"], 1)
@@ -105,14 +113,18 @@
 @pytest.mark.parametrize(
     ("events", "expected"),
     [
-        pytest.param([], None, id="unknown_id_blocked"),
-        pytest.param(["i"], S.OUTCOME_UNKNOWN, id="intent_runs_again"),
+        pytest.param([], None, id="new_id_rejected"),
+        pytest.param(
+            ["i"], S.OUTCOME_UNKNOWN, id="request_with_intent_runs_again"
+        ),
         pytest.param(["i", "o"], S.ANSWERED, id="outcome_lost"),
-        pytest.param(["i", "n"], None, id="refused_id_blocked"),
+        pytest.param(["i", "n"], None, id="refused_id_rejected"),
+        pytest.param(
+            ["i", "n", "i"], S.OUTCOME_UNKNOWN, id="reused_id_runs_again"
+        ),
         pytest.param(
-            ["i", "n", "i"], S.OUTCOME_UNKNOWN, id="second_use_runs_again"
+            ["x", "i"], S.OUTCOME_UNKNOWN, id="unrelated_event_raises"
         ),
-        pytest.param(["x", "i"], S.OUTCOME_UNKNOWN, id="foreign_event_fails"),
     ],
 )
 def test_recovery(events: list[str], expected: object) -> None:
@@ -132,12 +144,12 @@
     assert coordination.begin_request(found, "r", 10.0) == expected
 
 
-def test_snapshot_keeps_ages_and_leaves_out_ids_without_intent() -> None:
+def test_snapshot_keeps_ages_and_omits_ids_without_intent() -> None:
     ledger = _sent_ledger()
     coordination.mark_answered(ledger, "r", 204, 100.0)
     coordination.begin_request(ledger, "new", 100.0)
     data = coordination.encode_ledger(ledger, 400.0)
-    # The successor's clock is another one.
+    # The clock of the successor has a different origin.
     found = coordination.recover_ledger(data, [], 7000.0)
     assert list(found.entries) == ["r"]
     assert found.entries["r"].status == 204
@@ -146,7 +158,7 @@
 
 
 @pytest.mark.parametrize("value", [b"\xff", b"\x01", b"\x81\x81\x01"])
-def test_malformed_snapshot_is_a_protocol_error(value: bytes) -> None:
+def test_malformed_snapshot_raises_protocol_error(value: bytes) -> None:
     with pytest.raises(errors.ProtocolError):
         coordination.recover_ledger(value, [], 0.0)
 
--- a/chestnuttide/coordination/tests/test_ownership_properties.py
+++ b/chestnuttide/coordination/tests/test_ownership_properties.py
@@ -1,7 +1,7 @@
-"""Ownership under random faults, in simulated time.
+"""Tests of shard ownership under random faults, in simulated time.
 
-Seeds are drawn with hypothesis and fixed by `derandomize`; a failure is
-repeated with the seed that it prints.
+Hypothesis draws the seeds, and `derandomize` fixes them. A failure can be
+reproduced with the seed that it prints.
 """
 
 import random
@@ -12,7 +12,7 @@
 
 from chestnuttide.coordination.tests import ownership_world
 
-# Lease, list lag, promise time and the waits of all less preferred members.
+# Covers the lease, the list lag, the promise time and all claim delays.
 RECOVERY_S = 30.0
 
 _faults = strategies.lists(
@@ -78,8 +78,8 @@
 @pytest.mark.parametrize(
     "outage_s",
     [
-        pytest.param(1.0, id="within_the_lease"),
-        pytest.param(20.0, id="lease_over_and_promises_renewed"),
+        pytest.param(1.0, id="stops_within_the_lease"),
+        pytest.param(20.0, id="stops_after_the_lease_expires"),
     ],
 )
 def test_service_continues_in_a_store_outage(outage_s: float) -> None:
@@ -99,8 +99,8 @@
             assert ownership_world.acting(world, shard) == before[shard]
 
 
-def test_crash_is_followed_by_a_new_owner_within_3_s() -> None:
-    """Guards against a failover that takes longer than the goal of 3 s."""
+def test_crash_has_a_new_owner_within_3_s() -> None:
+    """Guards against a failover that exceeds the target of 3 s."""
     longest = 0.0
     for seed in range(20):
         world = ownership_world.make_world(seed, 4, 1, 0.0, 0.0)
@@ -114,8 +114,8 @@
     assert longest < 3.0
 
 
-def test_instances_that_die_one_after_another_leave_the_last_working() -> None:
-    """Guards against voters that are gone and never replaced."""
+def test_last_instance_works_after_the_others_die_in_turn() -> None:
+    """Guards against gone voters that are never replaced."""
     world = ownership_world.make_world(2, 5, 2, 0.0, 0.0)
     order = list(range(5))
     random.Random(2).shuffle(order)
