--- a/chestnuttide/coordination/tests/test_ownership_rules.py
+++ b/chestnuttide/coordination/tests/test_ownership_rules.py
@@ -1,4 +1,4 @@
-"""Single rules of ownership that the simulation hits only rarely."""
+"""Tests of ownership rules that the random simulation rarely exercises."""
 
 import typing
 
@@ -8,8 +8,8 @@
 
 PROMISE_S = 3.0
 START = 100.0
-# Past the quiet time of an instance that started at START.
-AWAKE = START + 4.0
+# After the time for which an instance started at START must not vote.
+VOTING_FROM = START + 4.0
 
 
 def _voter(
@@ -28,7 +28,7 @@
     return state, run
 
 
-def _promise(
+def _promise_request(
     revision: int = 7, version: int = 1, owner: str = "b"
 ) -> coordination.PromiseRequest:
     return coordination.PromiseRequest(
@@ -41,7 +41,7 @@
     )
 
 
-def _consent(
+def _consent_request(
     revision: int = 7, version: int = 1
 ) -> coordination.ConsentRequest:
     return coordination.ConsentRequest(
@@ -74,68 +74,95 @@
     ("steps", "expected"),
     [
         pytest.param(
-            [(_promise(), AWAKE), (_consent(), AWAKE + 2.9)],
+            [
+                (_promise_request(), VOTING_FROM),
+                (_consent_request(), VOTING_FROM + 2.9),
+            ],
             [True, False],
             id="consent_during_promise_makes_two_owners",
         ),
         pytest.param(
-            [(_promise(), AWAKE), (_consent(), AWAKE + 3.0)],
+            [
+                (_promise_request(), VOTING_FROM),
+                (_consent_request(), VOTING_FROM + 3.0),
+            ],
             [True, True],
-            id="ended_promise_blocks_claims_for_ever",
+            id="expired_promise_blocks_claims_forever",
         ),
         pytest.param(
-            [(_promise(6), AWAKE), (_consent(7), AWAKE + 1)],
+            [
+                (_promise_request(6), VOTING_FROM),
+                (_consent_request(7), VOTING_FROM + 1),
+            ],
             [True, False],
-            id="consent_for_own_rewrite_that_the_owner_does_not_know",
+            id="consent_after_rewrite_unknown_to_the_owner",
         ),
         pytest.param(
-            [(_consent(), AWAKE), (_promise(), AWAKE + 60)],
+            [
+                (_consent_request(), VOTING_FROM),
+                (_promise_request(), VOTING_FROM + 60),
+            ],
             [True, False],
-            id="promise_in_flight_while_consent_was_given",
+            id="promise_after_consent_makes_two_owners",
         ),
         pytest.param(
-            [(_consent(7), AWAKE), (_promise(8), AWAKE + 1)],
+            [
+                (_consent_request(7), VOTING_FROM),
+                (_promise_request(8), VOTING_FROM + 1),
+            ],
             [True, True],
-            id="owner_that_confirmed_its_record_gets_no_promise",
+            id="confirmed_owner_gets_no_promise",
         ),
         pytest.param(
-            [(_promise(owner="b"), AWAKE), (_promise(owner="c"), AWAKE)],
+            [
+                (_promise_request(owner="b"), VOTING_FROM),
+                (_promise_request(owner="c"), VOTING_FROM),
+            ],
             [True, False],
             id="promises_to_two_owners_of_one_shard",
         ),
         pytest.param(
-            [(_promise(), START + 3.2), (_consent(), START + 3.2)],
+            [
+                (_promise_request(), START + 3.2),
+                (_consent_request(), START + 3.2),
+            ],
             [False, False],
-            id="restarted_voter_forgot_what_it_promised",
+            id="restarted_voter_votes_without_its_promises",
         ),
         pytest.param(
             [(_proposal(), START + 3.2)],
             [False],
-            id="restarted_voter_acknowledges_with_promises_forgotten",
+            id="restarted_voter_acknowledges_without_its_promises",
         ),
         pytest.param(
-            [(_promise(), AWAKE), (_proposal(), AWAKE + 2.9)],
+            [
+                (_promise_request(), VOTING_FROM),
+                (_proposal(), VOTING_FROM + 2.9),
+            ],
             [True, False],
-            id="version_given_up_with_promise_outstanding",
+            id="version_given_up_with_outstanding_promise",
         ),
         pytest.param(
             [
-                (_proposal(), AWAKE),
-                (_promise(), AWAKE),
-                (_consent(), AWAKE),
+                (_proposal(), VOTING_FROM),
+                (_promise_request(), VOTING_FROM),
+                (_consent_request(), VOTING_FROM),
             ],
             [True, False, False],
-            id="vote_under_a_version_that_was_given_up",
+            id="vote_under_a_version_given_up",
         ),
         pytest.param(
-            [(_proposal(3), AWAKE)],
+            [(_proposal(3), VOTING_FROM)],
             [False],
             id="acknowledgement_skips_a_version",
         ),
         pytest.param(
-            [(_promise(version=2), AWAKE), (_consent(version=0), AWAKE)],
+            [
+                (_promise_request(version=2), VOTING_FROM),
+                (_consent_request(version=0), VOTING_FROM),
+            ],
             [False, False],
-            id="vote_under_a_version_that_was_not_read",
+            id="vote_under_a_version_not_read",
         ),
     ],
 )
@@ -150,10 +177,10 @@
         pytest.param(
             {"next_ids": ("a", "b")},
             frozenset(),
-            id="acknowledged_proposal_forgotten_by_restart",
+            id="restart_loses_acknowledged_proposal",
         ),
-        pytest.param({"ids": ("b", "c")}, frozenset(), id="no_voter_votes"),
-        pytest.param({}, frozenset({"a"}), id="counted_as_gone_and_votes"),
+        pytest.param({"ids": ("b", "c")}, frozenset(), id="non_voter_votes"),
+        pytest.param({}, frozenset({"a"}), id="instance_listed_as_gone_votes"),
     ],
 )
 def test_instance_that_must_not_vote(
@@ -161,12 +188,12 @@
 ) -> None:
     _, run = _voter(**voters)
     run(coordination.InstancesGone(ids=gone), START)
-    assert not _granted(run(_promise(), AWAKE))
-    assert not _granted(run(_consent(), AWAKE))
+    assert not _granted(run(_promise_request(), VOTING_FROM))
+    assert not _granted(run(_consent_request(), VOTING_FROM))
 
 
 def _owner(
-    now: float = AWAKE,
+    now: float = VOTING_FROM,
 ) -> tuple[coordination.OwnershipState, typing.Any]:
     """Return an owner of shard s whose lease ends at ``now + 1.8``."""
     state, run = _voter()
@@ -174,8 +201,10 @@
     run(coordination.DesiredShards(shards=frozenset({"s"})), now)
     run(coordination.ShardRecordsRead(records=()), now)
     run(_members("a"), now)
-    [write] = _of(run(_renewed(now, 1), now), coordination.WriteShardRecord)
-    _answer(run, write, 10, now)
+    [write] = _select(
+        run(_renewed(now, 1), now), coordination.WriteShardRecord
+    )
+    _confirm_write(run, write, 10, now)
     assert coordination.may_act(state, "s", now)
     return state, run
 
@@ -184,7 +213,9 @@
     return coordination.LeaseRenewed(sent_at=now, ttl_s=2.0, lease_id=lease_id)
 
 
-def _members(*ids: str, sent_at: float = AWAKE) -> coordination.MembersRead:
+def _members(
+    *ids: str, sent_at: float = VOTING_FROM
+) -> coordination.MembersRead:
     return coordination.MembersRead(
         members=tuple(
             coordination.Member(instance_id=one, incarnation="i")
@@ -194,11 +225,11 @@
     )
 
 
-def _of(outputs: list, kind: type) -> list:
+def _select(outputs: list, kind: type) -> list:
     return [one for one in outputs if isinstance(one, kind)]
 
 
-def _answer(
+def _confirm_write(
     run: typing.Any,
     write: coordination.WriteShardRecord,
     revision: int,
@@ -216,15 +247,15 @@
     )
 
 
-def _requests(outputs: list, kind: type) -> dict[str, typing.Any]:
+def _requests_by_voter(outputs: list, kind: type) -> dict[str, typing.Any]:
     return {
         send.to: send.message
-        for send in _of(outputs, coordination.Send)
+        for send in _select(outputs, coordination.Send)
         if isinstance(send.message, kind)
     }
 
 
-def _reply(
+def _promise_reply(
     request: coordination.PromiseRequest, voter: str
 ) -> coordination.PromiseReply:
     return coordination.PromiseReply(
@@ -237,55 +268,61 @@
     )
 
 
-_DOWN = coordination.StoreReachable(reachable=False)
+_STORE_UNREACHABLE = coordination.StoreReachable(reachable=False)
 
 
 @pytest.mark.parametrize(
-    ("replied_at", "asked_at", "expected"),
+    ("replied_at", "checked_at", "expected"),
     [
-        pytest.param(1.0, 2.0, True, id="promises_do_not_continue_ownership"),
+        pytest.param(1.0, 2.0, True, id="promises_do_not_extend_ownership"),
         pytest.param(1.0, 3.1, False, id="promise_counted_from_its_receipt"),
-        pytest.param(1.9, 1.95, False, id="late_promise_closes_a_gap"),
+        pytest.param(
+            1.9, 1.95, False, id="late_promise_restores_lost_ownership"
+        ),
     ],
 )
 def test_promises_of_an_owner(
-    replied_at: float, asked_at: float, expected: bool
+    replied_at: float, checked_at: float, expected: bool
 ) -> None:
     state, run = _owner()
-    # The voters b and c are asked at 0.3; a promises itself.
-    sends = _requests(run(_DOWN, AWAKE + 0.3), coordination.PromiseRequest)
+    # Voters b and c receive requests at 0.3; voter a promises to itself.
+    sends = _requests_by_voter(
+        run(_STORE_UNREACHABLE, VOTING_FROM + 0.3), coordination.PromiseRequest
+    )
     assert sorted(sends) == ["b", "c"]
-    run(_reply(sends["b"], "b"), AWAKE + replied_at)
-    assert coordination.may_act(state, "s", AWAKE + asked_at) is expected
+    run(_promise_reply(sends["b"], "b"), VOTING_FROM + replied_at)
+    assert (
+        coordination.may_act(state, "s", VOTING_FROM + checked_at) is expected
+    )
 
 
-def test_minority_of_promises_continues_ownership() -> None:
+def test_minority_of_promises_does_not_extend_ownership() -> None:
     state, run = _owner()
-    run(_DOWN, AWAKE + 0.3)
-    assert coordination.may_act(state, "s", AWAKE + 1.7)
-    assert not coordination.may_act(state, "s", AWAKE + 1.8)
+    run(_STORE_UNREACHABLE, VOTING_FROM + 0.3)
+    assert coordination.may_act(state, "s", VOTING_FROM + 1.7)
+    assert not coordination.may_act(state, "s", VOTING_FROM + 1.8)
 
 
-def test_new_lease_covers_a_record_of_the_old_one() -> None:
+def test_new_lease_does_not_cover_an_old_record() -> None:
     state, run = _owner()
-    run(coordination.LeaseLost(), AWAKE + 1)
-    assert not coordination.may_act(state, "s", AWAKE + 1)
-    outputs = run(_renewed(AWAKE + 1, 2), AWAKE + 1)
-    assert not coordination.may_act(state, "s", AWAKE + 1)
-    [write] = _of(outputs, coordination.WriteShardRecord)
+    run(coordination.LeaseLost(), VOTING_FROM + 1)
+    assert not coordination.may_act(state, "s", VOTING_FROM + 1)
+    outputs = run(_renewed(VOTING_FROM + 1, 2), VOTING_FROM + 1)
+    assert not coordination.may_act(state, "s", VOTING_FROM + 1)
+    [write] = _select(outputs, coordination.WriteShardRecord)
     assert (write.expected_revision, write.record.epoch) == (10, 1)
-    assert _answer(run, write, 11, AWAKE + 1.1) == []
-    assert coordination.may_act(state, "s", AWAKE + 1.1)
+    assert _confirm_write(run, write, 11, VOTING_FROM + 1.1) == []
+    assert coordination.may_act(state, "s", VOTING_FROM + 1.1)
 
 
 def _claimant(
     gone: frozenset[str] = frozenset(),
 ) -> tuple[coordination.OwnershipState, typing.Any]:
-    """Return an instance that wants shard s, held by the dead b."""
+    """Return an instance that claims shard s of the failed owner b."""
     state, run = _voter()
-    run(coordination.PeersConnected(ids=frozenset({"c"})), AWAKE)
-    run(coordination.DesiredShards(shards=frozenset({"s"})), AWAKE)
-    run(coordination.InstancesGone(ids=gone), AWAKE)
+    run(coordination.PeersConnected(ids=frozenset({"c"})), VOTING_FROM)
+    run(coordination.DesiredShards(shards=frozenset({"s"})), VOTING_FROM)
+    run(coordination.InstancesGone(ids=gone), VOTING_FROM)
     record = coordination.ShardRecord(
         owner="b", incarnation="i", session=3, epoch=4
     )
@@ -295,13 +332,13 @@
                 coordination.ReadRecord(shard="s", record=record, revision=7),
             )
         ),
-        AWAKE,
+        VOTING_FROM,
     )
-    run(_renewed(AWAKE, 1), AWAKE)
+    run(_renewed(VOTING_FROM, 1), VOTING_FROM)
     return state, run
 
 
-def _consents(
+def _consent_reply(
     request: coordination.ConsentRequest, voter: str
 ) -> coordination.ConsentReply:
     return coordination.ConsentReply(
@@ -317,41 +354,43 @@
 @pytest.mark.parametrize(
     ("members", "sent_at", "expected"),
     [
-        pytest.param(("a",), 0.1, 1, id="dead_owner_keeps_the_shard"),
-        pytest.param(("a", "b"), 0.1, 0, id="claim_from_a_live_owner"),
+        pytest.param(("a",), 0.1, 1, id="failed_owner_keeps_the_shard"),
+        pytest.param(("a", "b"), 0.1, 0, id="shard_of_a_live_owner_claimed"),
         pytest.param(
-            ("a",), -0.1, 0, id="members_read_before_the_owner_came_back"
+            ("a",), -0.1, 0, id="members_read_before_the_owner_returned"
         ),
     ],
 )
-def test_claim_asks_for_consents(
+def test_claim_requests_consents(
     members: tuple[str, ...], sent_at: float, expected: int
 ) -> None:
     _, run = _claimant()
-    outputs = run(_members(*members, sent_at=AWAKE + sent_at), AWAKE + 0.2)
-    sends = _requests(outputs, coordination.ConsentRequest)
+    outputs = run(
+        _members(*members, sent_at=VOTING_FROM + sent_at), VOTING_FROM + 0.2
+    )
+    sends = _requests_by_voter(outputs, coordination.ConsentRequest)
     assert len(sends) == expected
-    assert _of(outputs, coordination.WriteShardRecord) == []
+    assert _select(outputs, coordination.WriteShardRecord) == []
 
 
 @pytest.mark.parametrize(
     ("delay", "writes"),
     [
-        pytest.param(0.1, 1, id="majority_of_consents_is_not_enough"),
-        pytest.param(2.8, 0, id="consent_outlasts_the_voters_quiet_time"),
+        pytest.param(0.1, 1, id="majority_of_consents_is_insufficient"),
+        pytest.param(2.8, 0, id="consent_used_after_its_validity"),
     ],
 )
 def test_claim_with_consents(delay: float, writes: int) -> None:
     state, run = _claimant()
-    outputs = run(_members("a", sent_at=AWAKE + 0.1), AWAKE + 0.1)
-    request = _requests(outputs, coordination.ConsentRequest)["c"]
-    run(_renewed(AWAKE + delay, 1), AWAKE + delay)
-    outputs = run(_consents(request, "c"), AWAKE + 0.1 + delay)
-    found = _of(outputs, coordination.WriteShardRecord)
+    outputs = run(_members("a", sent_at=VOTING_FROM + 0.1), VOTING_FROM + 0.1)
+    request = _requests_by_voter(outputs, coordination.ConsentRequest)["c"]
+    run(_renewed(VOTING_FROM + delay, 1), VOTING_FROM + delay)
+    outputs = run(_consent_reply(request, "c"), VOTING_FROM + 0.1 + delay)
+    found = _select(outputs, coordination.WriteShardRecord)
     assert len(found) == writes
     for write in found:
         assert (write.expected_revision, write.record.epoch) == (7, 5)
-        [acquired] = _answer(run, write, 8, AWAKE + 0.1 + delay)
+        [acquired] = _confirm_write(run, write, 8, VOTING_FROM + 0.1 + delay)
         assert acquired.previous.owner == "b"
         assert not acquired.clean
 
@@ -365,10 +404,10 @@
 )
 def test_claim_with_gone_voters(delay: float, writes: int) -> None:
     state, run = _claimant(gone=frozenset({"b", "c"}))
-    run(coordination.PeersConnected(ids=frozenset()), AWAKE)
-    run(_members("a", sent_at=AWAKE + 0.1), AWAKE + 0.1)
-    outputs = run(_renewed(AWAKE + delay, 1), AWAKE + delay)
-    assert len(_of(outputs, coordination.WriteShardRecord)) == writes
+    run(coordination.PeersConnected(ids=frozenset()), VOTING_FROM)
+    run(_members("a", sent_at=VOTING_FROM + 0.1), VOTING_FROM + 0.1)
+    outputs = run(_renewed(VOTING_FROM + delay, 1), VOTING_FROM + delay)
+    assert len(_select(outputs, coordination.WriteShardRecord)) == writes
 
 
 @pytest.mark.parametrize(
@@ -385,19 +424,21 @@
     acks: tuple[tuple[str, int], ...], version: int | None
 ) -> None:
     _, run = _claimant(gone=frozenset({"b"}))
-    run(_members("a", sent_at=AWAKE + 0.1), AWAKE + 0.1)
-    outputs = run(_renewed(AWAKE + 1.2, 1), AWAKE + 1.2)
-    [proposal] = _of(outputs, coordination.WriteVoters)
+    run(_members("a", sent_at=VOTING_FROM + 0.1), VOTING_FROM + 0.1)
+    outputs = run(_renewed(VOTING_FROM + 1.2, 1), VOTING_FROM + 1.2)
+    [proposal] = _select(outputs, coordination.WriteVoters)
     assert (proposal.version, proposal.next_ids) == (1, ("a", "c"))
     outputs = run(
         coordination.VotersRead(
             version=1, ids=("a", "b", "c"), revision=9, next_ids=("a", "c")
         ),
-        AWAKE + 1.3,
+        VOTING_FROM + 1.3,
     )
-    outputs += run(_renewed(AWAKE + 2.6, 1), AWAKE + 2.6)
-    assert set(_requests(outputs, coordination.VotersProposal)) == {"c"}
-    assert _of(outputs, coordination.WriteVoters) == []
+    outputs += run(_renewed(VOTING_FROM + 2.6, 1), VOTING_FROM + 2.6)
+    assert set(_requests_by_voter(outputs, coordination.VotersProposal)) == {
+        "c"
+    }
+    assert _select(outputs, coordination.WriteVoters) == []
     written: list = []
     for voter, revision in acks:
         ack = coordination.VotersAck(
@@ -406,7 +447,9 @@
             version=2,
             revision=revision,
         )
-        written += _of(run(ack, AWAKE + 2.7), coordination.WriteVoters)
+        written += _select(
+            run(ack, VOTING_FROM + 2.7), coordination.WriteVoters
+        )
     assert [one.version for one in written] == (
         [] if version is None else [version]
     )
@@ -420,30 +463,32 @@
         pytest.param(0, 0.0, True, id="single_instance_waits"),
     ],
 )
-def test_turns_of_claims(others: int, delay: float, expected: bool) -> None:
+def test_claim_delay_by_rank(
+    others: int, delay: float, expected: bool
+) -> None:
     members = ["a", *(f"m{number}" for number in range(others))]
-    # A shard for which this instance is the least preferred member.
+    # Choose a shard for which this instance is the least preferred member.
     [shard, *_] = [
         name
         for name in (f"s{number}" for number in range(100))
         if coordination.rank_members(name, members)[-1] == "a"
     ]
     _, run = _voter()
-    run(coordination.DesiredShards(shards=frozenset({shard})), AWAKE)
-    run(coordination.ShardRecordsRead(records=()), AWAKE)
-    run(_members(*members), AWAKE)
+    run(coordination.DesiredShards(shards=frozenset({shard})), VOTING_FROM)
+    run(coordination.ShardRecordsRead(records=()), VOTING_FROM)
+    run(_members(*members), VOTING_FROM)
     outputs: list = []
     for step in range(int(delay) + 1):
-        outputs = run(_renewed(AWAKE + step, 1), AWAKE + step)
-    assert bool(_of(outputs, coordination.WriteShardRecord)) is expected
+        outputs = run(_renewed(VOTING_FROM + step, 1), VOTING_FROM + step)
+    assert bool(_select(outputs, coordination.WriteShardRecord)) is expected
 
 
-def test_released_shard_waits_for_its_former_owner() -> None:
+def test_released_shard_stops_and_stores_its_residual() -> None:
     state, run = _owner()
     residual = {"t": (1.5,)}
     message = coordination.ReleaseRequested(shard="s", residual=residual)
-    [write] = run(message, AWAKE + 0.1)
-    assert not coordination.may_act(state, "s", AWAKE + 0.1)
+    [write] = run(message, VOTING_FROM + 0.1)
+    assert not coordination.may_act(state, "s", VOTING_FROM + 0.1)
     assert write.record.state == coordination.RELEASED
     assert write.record.residual == residual
     value = coordination.encode_record(write.record)
@@ -451,44 +496,49 @@
     lost = coordination.ShardLost(
         shard="s", epoch=1, reason=coordination.LOST_RELEASED
     )
-    assert lost in _answer(run, write, 11, AWAKE + 0.2)
+    assert lost in _confirm_write(run, write, 11, VOTING_FROM + 0.2)
 
 
-def test_drain_gives_up_few_shards_at_a_time() -> None:
+def test_drain_releases_few_shards_at_a_time() -> None:
     state, run = _voter()
     names = [f"s{number}" for number in range(9)]
-    run(coordination.DesiredShards(shards=frozenset(names)), AWAKE)
-    run(coordination.ShardRecordsRead(records=()), AWAKE)
-    run(_members("a", "b"), AWAKE)
-    now = AWAKE + 1.5
-    run(_renewed(AWAKE, 1), AWAKE)
-    for write in _of(
+    run(coordination.DesiredShards(shards=frozenset(names)), VOTING_FROM)
+    run(coordination.ShardRecordsRead(records=()), VOTING_FROM)
+    run(_members("a", "b"), VOTING_FROM)
+    now = VOTING_FROM + 1.5
+    run(_renewed(VOTING_FROM, 1), VOTING_FROM)
+    for write in _select(
         run(_renewed(now, 1), now), coordination.WriteShardRecord
     ):
-        _answer(run, write, 20 + int(write.shard[1:]), now)
+        _confirm_write(run, write, 20 + int(write.shard[1:]), now)
     held = [one for one in names if coordination.held_epoch(state, one)]
-    moves = _of(run(coordination.Drain(), now), coordination.ShouldRelease)
+    moves = _select(run(coordination.Drain(), now), coordination.ShouldRelease)
     assert {one.to for one in moves} <= {"b"}
     assert len(moves) == min(len(held), 4)
 
 
 @pytest.mark.parametrize(
-    ("asked_at", "ticks", "promised"),
+    ("requested_at", "ticks", "promised"),
     [
         pytest.param(20.1, [20.0], True, id="voter_without_pause_refuses"),
-        pytest.param(26.0, [20.0], False, id="old_request_before_the_tick"),
         pytest.param(
-            26.2, [20.0, 26.0], False, id="old_request_after_the_tick"
+            26.0, [20.0], False, id="stale_request_promised_before_the_tick"
+        ),
+        pytest.param(
+            26.2,
+            [20.0, 26.0],
+            False,
+            id="stale_request_promised_after_the_tick",
         ),
         pytest.param(
-            26.4, [20.0, 26.0], True, id="voter_stays_silent_after_a_pause"
+            26.4, [20.0, 26.0], True, id="voter_keeps_refusing_after_a_pause"
         ),
     ],
 )
-def test_requests_that_waited_during_a_pause_get_no_promise(
-    asked_at: float, ticks: list[float], promised: bool
+def test_requests_queued_during_a_pause_get_no_promise(
+    requested_at: float, ticks: list[float], promised: bool
 ) -> None:
-    """Guards against a takeover that waits for promises of no use."""
+    """Guards against a takeover that waits for promises to stale requests."""
     state = coordination.make_ownership_state(
         instance_id="a", incarnation="1", now=0.0
     )
@@ -507,5 +557,5 @@
         promise_s=3.0,
         shards=(("workers/0", 5),),
     )
-    (sent,) = run(request, asked_at)
+    (sent,) = run(request, requested_at)
     assert bool(sent.message.shards) == promised
