--- a/chestnuttide/coordination/_claims.py
+++ b/chestnuttide/coordination/_claims.py
@@ -14,7 +14,7 @@
     revision: int,
     now: float,
 ) -> list[object]:
-    """Store a shard's record unless a newer one is already known."""
+    """Store a shard's record if it is newer than the known one."""
     known = state.records.get(shard)
     if known is not None and revision <= known.revision:
         return []
@@ -56,13 +56,13 @@
     )
 
 
-def plan_outputs(state: _state.OwnershipState, now: float) -> list[object]:
+def advance(state: _state.OwnershipState, now: float) -> list[object]:
     """Return the writes, requests and ownership changes that are due."""
     outputs: list[object] = []
-    outputs.extend(_plan_releases(state, now))
-    outputs.extend(_plan_confirmations(state, now))
-    outputs.extend(_plan_claims(state, now))
-    outputs.extend(_plan_moves(state, now))
+    outputs.extend(_advance_releases(state, now))
+    outputs.extend(_advance_confirmations(state, now))
+    outputs.extend(_advance_claims(state, now))
+    outputs.extend(_advance_moves(state, now))
     return outputs
 
 
@@ -142,7 +142,9 @@
     )
 
 
-def _plan_releases(state: _state.OwnershipState, now: float) -> list[object]:
+def _advance_releases(
+    state: _state.OwnershipState, now: float
+) -> list[object]:
     outputs: list[object] = []
     if not state.store_reachable:
         return outputs
@@ -161,7 +163,7 @@
     return outputs
 
 
-def _plan_confirmations(
+def _advance_confirmations(
     state: _state.OwnershipState, now: float
 ) -> list[object]:
     """Acquire the shards whose records name this instance as owner.
@@ -221,7 +223,7 @@
     )
 
 
-def _plan_claims(state: _state.OwnershipState, now: float) -> list[object]:
+def _advance_claims(state: _state.OwnershipState, now: float) -> list[object]:
     lease = state.lease
     if (
         lease is None
@@ -355,7 +357,7 @@
     return outputs
 
 
-def _plan_moves(state: _state.OwnershipState, now: float) -> list[object]:
+def _advance_moves(state: _state.OwnershipState, now: float) -> list[object]:
     outputs: list[object] = []
     if state.members is None or not state.store_reachable:
         return outputs
--- a/chestnuttide/coordination/_ownership.py
+++ b/chestnuttide/coordination/_ownership.py
@@ -130,8 +130,8 @@
             return outputs
         _promises.drop_stale_requests(state, now)
         outputs.extend(_promises.request_promises(state, now))
-        outputs.extend(_claims.plan_outputs(state, now))
-        outputs.extend(_voters.plan_outputs(state, now))
+        outputs.extend(_claims.advance(state, now))
+        outputs.extend(_voters.advance(state, now))
         return outputs
 
     return run
--- a/chestnuttide/coordination/_voters.py
+++ b/chestnuttide/coordination/_voters.py
@@ -12,7 +12,7 @@
 def update_voters(
     state: _state.OwnershipState, voters: _messages.VotersRead
 ) -> None:
-    """Store the voters key as read unless a newer revision is known."""
+    """Store the voters as read if they are newer than the known ones."""
     known = state.voters
     if known is not None and voters.revision <= known.revision:
         return
@@ -78,7 +78,7 @@
         state.acks.add(ack.voter)
 
 
-def plan_outputs(state: _state.OwnershipState, now: float) -> list[object]:
+def advance(state: _state.OwnershipState, now: float) -> list[object]:
     """Return the proposals and the writes of the voters key that are due."""
     voters = state.voters
     if (
