--- a/chestnuttide/coordination/_ledger.py
+++ b/chestnuttide/coordination/_ledger.py
@@ -115,8 +115,8 @@
 ) -> bytes:
     """Return the event that records intents for accepted ids.
 
-    The caller must append the event to the journal immediately, because
-    snapshots of the ledger contain the ids from now on.
+    The event must be appended to the journal immediately, because snapshots
+    of the ledger contain the ids from now on.
 
     Parameters
     ----------
--- a/chestnuttide/coordination/_recovery.py
+++ b/chestnuttide/coordination/_recovery.py
@@ -70,7 +70,7 @@
 ) -> Recovery:
     """Return the state from which a successor continues.
 
-    The caller reads the manifest first, then the chunks, then the ring. If a
+    The manifest must be read first, then the chunks, then the ring. If a
     snapshot is completed in between, either this fails or the older snapshot
     is still usable.
 
@@ -91,7 +91,7 @@
     ------
     errors.ProtocolError
         If the keys are inconsistent, for example because the former owner
-        was still writing. The caller then reads them again.
+        was still writing. They must then be read again.
     """
     stored = list(chunks)
     current = _snapshots.Manifest(epoch=0)
