--- a/chestnuttide/coordination/_snapshots.py
+++ b/chestnuttide/coordination/_snapshots.py
@@ -1,14 +1,14 @@
 """Snapshots of a shard: chunks in two generations, and a manifest.
 
-The manifest names the generation whose chunks are valid. The chunks of the
-other generation are overwritten first, then the manifest's CAS makes them
-valid, so that a crash in between leaves the former snapshot in force. Chunks
-carry the writer's epoch and are written by CAS too, so a former owner cannot
-replace a chunk of its successor.
-
-A successor first writes the manifest again with its own epoch (the *fence*),
-before it overwrites any chunk. Otherwise a delayed manifest of the former
-owner could make a generation valid that the successor has half overwritten.
+The manifest names the generation whose chunks are valid. A new snapshot first
+overwrites the chunks of the other generation; the CAS of the manifest then
+makes them valid. A crash in between leaves the previous snapshot in effect.
+Chunks carry the writer's epoch and are also written by CAS, so a former owner
+cannot overwrite a chunk of its successor.
+
+Before it overwrites any chunk, a successor rewrites the manifest with its own
+epoch (the *fence*). Otherwise a delayed manifest write of the former owner
+could make a generation valid that the successor has partly overwritten.
 """
 
 import collections
@@ -24,7 +24,7 @@
 from chestnuttide import errors
 from chestnuttide import pipes
 
-# Values of the store hold up to 1 MB.
+# Below the store's limit of 1 MB for a value.
 MAX_CHUNK_BYTES: typing.Final = 512_000
 MANIFEST_NAME: typing.Final = "manifest"
 
@@ -40,7 +40,7 @@
     generation : int
         Generation of the chunks, 0 or 1.
     chunks : int
-        Number of chunks; 0 when there is no snapshot yet.
+        Number of chunks; 0 if there is no snapshot yet.
     base_seq : int
         First batch of the journal that the snapshot does not cover.
     checksum : int
@@ -61,7 +61,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ManifestConflict:
-    """The manifest was written meanwhile; recover the shard again."""
+    """Another write changed the manifest; recover the shard again."""
 
 
 @attrs.define(kw_only=True)
@@ -75,23 +75,23 @@
     epoch : int
         Epoch of the ownership.
     manifest : Manifest
-        The manifest in force.
+        The manifest in effect.
     revisions : dict of str to int
         Revision of each key below ``snapshot/<shard>/``.
     make_write_id : function
         Returns a write id that was never used before.
     max_chunk_bytes : int
-        Most bytes of a chunk.
+        Maximum size of a chunk.
     fenced : bool
         Whether the manifest carries this owner's epoch.
     deposed : bool
         Whether another owner has written the manifest.
     queue : deque of (str, bytes)
-        Keys and values still to write, the manifest last.
-    following : Manifest or None
+        Keys and values that remain to be written, the manifest last.
+    next_manifest : Manifest or None
         The manifest that is being written.
-    waiting : SnapshotReady or None
-        A snapshot that is written after the manifest in flight.
+    waiting_snapshot : SnapshotReady or None
+        Snapshot to write once the manifest in flight is written.
     pending : PendingWrite or None
         The write in flight.
     """
@@ -107,8 +107,8 @@
     queue: collections.deque[tuple[str, bytes]] = attrs.field(
         factory=collections.deque
     )
-    following: Manifest | None = None
-    waiting: _journal.SnapshotReady | None = None
+    next_manifest: Manifest | None = None
+    waiting_snapshot: _journal.SnapshotReady | None = None
     pending: _cas_writes.PendingWrite | None = None
 
 
@@ -138,7 +138,7 @@
     Raises
     ------
     errors.ProtocolError
-        If the value is no chunk.
+        If the value is not a chunk.
     """
     try:
         items = cbor2.loads(value)
@@ -168,12 +168,12 @@
 
 
 def decode_manifest(value: bytes) -> Manifest:
-    """Return the manifest in its key.
+    """Return the manifest that is encoded in its key's value.
 
     Raises
     ------
     errors.ProtocolError
-        If the value is no manifest.
+        If the value is not a manifest.
     """
     try:
         items = cbor2.loads(value)
@@ -205,10 +205,10 @@
     Returns
     -------
     Filter
-        Takes `JournalTick` (the first one writes the fence), `SnapshotReady`,
+        Accepts `JournalTick` (the first writes the fence), `SnapshotReady`,
         `WriteSucceeded`, `WriteConflict`, `WriteUnanswered` and `ReadBack`.
         Returns `WriteBatch`, `ReadKey`, `Fenced`, `ManifestConflict`,
-        `SnapshotWritten` (to be given to the journal) and `Deposed`. Raises
+        `SnapshotWritten` (to be passed to the journal) and `Deposed`. Raises
         `TypeError` for an unknown message.
     """
 
@@ -226,7 +226,7 @@
 def _on_tick(
     state: SnapshotState, message: _journal.JournalTick, now: float
 ) -> list[object]:
-    if not state.fenced and state.following is None:
+    if not state.fenced and state.next_manifest is None:
         _queue_manifest(state, attrs.evolve(state.manifest, epoch=state.epoch))
     return _cas_writes.retry_read(state.pending, now)
 
@@ -234,14 +234,16 @@
 def _on_ready(
     state: SnapshotState, message: _journal.SnapshotReady, now: float
 ) -> list[object]:
-    if not state.fenced or state.following is not None:
-        state.waiting = message
+    if not state.fenced or state.next_manifest is not None:
+        state.waiting_snapshot = message
         return []
-    _begin(state, message)
+    _start_snapshot(state, message)
     return []
 
 
-def _begin(state: SnapshotState, message: _journal.SnapshotReady) -> None:
+def _start_snapshot(
+    state: SnapshotState, message: _journal.SnapshotReady
+) -> None:
     generation = 1 - state.manifest.generation
     size = state.max_chunk_bytes
     chunks = [
@@ -269,7 +271,7 @@
     pending = state.pending
     if not _cas_writes.is_pending(pending, message.write_id):
         return []
-    return _finish(state, pending.write, message.revision)
+    return _complete_write(state, pending.write, message.revision)
 
 
 def _on_conflict(
@@ -285,7 +287,7 @@
 ) -> list[object]:
     if not _cas_writes.is_pending(state.pending, message.write_id):
         return []
-    return _cas_writes.unanswered(state.pending, now)
+    return _cas_writes.handle_unanswered(state.pending, now)
 
 
 def _on_read_back(
@@ -297,16 +299,16 @@
         or not pending.resolving
     ):
         return []
-    match _cas_writes.judge(pending, message):
+    match _cas_writes.resolve(pending, message):
         case _cas_writes.Outcome.TOOK_EFFECT:
-            return _finish(state, pending.write, message.revision)
+            return _complete_write(state, pending.write, message.revision)
         case _cas_writes.Outcome.SEND_AGAIN:
             return [pending.write]
     state.pending = None
     key = pending.write.key
     is_chunk = key != manifest_key(state.shard)
     if is_chunk and _chunk_epoch(message.value) <= state.epoch:
-        # A delayed chunk of a former owner; it is replaced.
+        # Overwrites a chunk that a delayed write of a former owner left.
         state.revisions[key] = message.revision
         state.queue.appendleft((key, pending.write.value))
         return []
@@ -337,20 +339,20 @@
 
 
 def _queue_manifest(state: SnapshotState, manifest: Manifest) -> None:
-    state.following = manifest
+    state.next_manifest = manifest
     key = manifest_key(state.shard)
     state.queue.append((key, encode_manifest(manifest)))
 
 
-def _finish(
+def _complete_write(
     state: SnapshotState, write: _cas_writes.WriteBatch, revision: int
 ) -> list[object]:
     state.revisions[write.key] = revision
     state.pending = None
-    if state.queue or state.following is None:
+    if state.queue or state.next_manifest is None:
         return []
-    state.manifest = state.following
-    state.following = None
+    state.manifest = state.next_manifest
+    state.next_manifest = None
     outputs: list[object] = []
     if state.fenced:
         base_seq = state.manifest.base_seq
@@ -358,9 +360,9 @@
     else:
         state.fenced = True
         outputs.append(Fenced())
-    if state.waiting is not None:
-        _begin(state, state.waiting)
-        state.waiting = None
+    if state.waiting_snapshot is not None:
+        _start_snapshot(state, state.waiting_snapshot)
+        state.waiting_snapshot = None
     return outputs
 
 
@@ -380,6 +382,6 @@
 
 def _malformed() -> errors.ProtocolError:
     return errors.ProtocolError(
-        message="A key of a snapshot holds an unknown value.",
+        message="A snapshot key contains a value that cannot be decoded.",
         remedy="Check which versions of the program use this store.",
     )
