--- a/chestnuttide/scheduler/__init__.py
+++ b/chestnuttide/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon that owns shards, routes requests and places tasks."""
+"""The scheduler daemon: owns shards, routes requests, places tasks."""
 
 from chestnuttide import daemon
 from chestnuttide.scheduler import _daemon
--- a/chestnuttide/scheduler/__main__.py
+++ b/chestnuttide/scheduler/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the scheduler daemon as a module."""
+"""Entry point of ``python -m chestnuttide.scheduler``."""
 
 import sys
 
--- a/chestnuttide/scheduler/_daemon.py
+++ b/chestnuttide/scheduler/_daemon.py
@@ -300,7 +300,7 @@
         case mesh.RequestCancel():
             for shard in list(state.shards.values()):
                 if not model.is_pool(shard.name):
-                    shard.take(connection, message)
+                    shard.handle_message(connection, message)
         case mesh.SlotsFreed():
             _take_slots_freed(state, connection, message)
         case mesh.TargetsLeaving():
@@ -342,11 +342,11 @@
 ) -> None:
     shard = state.shards.get(message.shard)
     if shard is not None:
-        shard.take(connection, message)
+        shard.handle_message(connection, message)
         return
     former = state.former.get(message.shard)
     if former is not None and isinstance(message, mesh.RequestRead):
-        former[1].take(connection, message)
+        former[1].handle_message(connection, message)
         return
     error = routing.make_error(
         errors.Reason.NOT_OWNER,
@@ -377,10 +377,12 @@
 ) -> None:
     shard = state.shards.get(message.shard)
     if shard is not None:
-        shard.take(connection, message)
+        shard.handle_message(connection, message)
     elif message.shard in state.activations:
         key = (message.shard, message.target)
-        state.early_frees[key] = state.early_frees.get(key, 0) + message.count
+        state.early_freed_slots[key] = (
+            state.early_freed_slots.get(key, 0) + message.count
+        )
 
 
 def _learn_leaving(
--- a/chestnuttide/scheduler/_pool_calls.py
+++ b/chestnuttide/scheduler/_pool_calls.py
@@ -1,4 +1,4 @@
-"""Callers' and operators' calls to a pool, and their answers."""
+"""Handles job calls and status queries that arrive for a pool."""
 
 import json
 import time
@@ -17,14 +17,14 @@
 
 LOG = telemetry.make_logger("pool")
 
-# Where an answer goes: the connection and the number of the call.
+# Identifies the call that a reply belongs to: connection and call id.
 Token = tuple[mesh.Connection, int]
 
 
-def take(
+def handle_message(
     shard: _pool_state.PoolShard, connection: mesh.Connection, message: object
 ) -> None:
-    """Take a call about jobs."""
+    """Handle a mesh message that submits, cancels or reads jobs."""
     match message:
         case mesh.JobSubmit():
             token = (connection, message.call_id)
@@ -38,9 +38,9 @@
             token = (connection, message.call_id)
             shard.feed(jobs.CancelJob(token=token, job_id=message.job_id))
         case mesh.JobRead():
-            _answer_read(shard, connection, message)
+            _reply_to_read(shard, connection, message)
         case _:
-            LOG.warning("message %s is not taken", type(message).__name__)
+            LOG.warning("unexpected message %s", type(message).__name__)
 
 
 def _to_job(message: mesh.JobSubmit) -> model.Job:
@@ -63,7 +63,7 @@
 
 
 def reply(token: Token, status: int, document: object) -> None:
-    """Answer a call with a JSON document."""
+    """Reply to a call with a JSON document."""
     connection, call_id = token
     mesh.send_if_possible(
         connection,
@@ -79,7 +79,7 @@
 def refuse(
     shard: _pool_state.PoolShard, token: Token, error: errors.RefusedError
 ) -> None:
-    """Answer a call with a refusal, and count it."""
+    """Reply to a call with an error, and count the refusal."""
     telemetry.count_refusal(shard.daemon.metrics, error.reason)
     connection, call_id = token
     mesh.send_if_possible(
@@ -87,7 +87,7 @@
     )
 
 
-def _answer_read(
+def _reply_to_read(
     shard: _pool_state.PoolShard,
     connection: mesh.Connection,
     message: mesh.JobRead,
@@ -119,7 +119,7 @@
 
 
 def _describe_job(view: jobs.JobView) -> dict[str, object]:
-    """Return a job as the callers' interface shows it."""
+    """Return the JSON document that callers get for a job."""
     job = view.job
     return {
         "id": job.job_id,
@@ -139,7 +139,7 @@
 
 
 def describe(shard: _pool_state.PoolShard) -> dict[str, list[object]]:
-    """Return the pool's rows of the status, by table."""
+    """Return the pool's rows of the status document, by table."""
     view = jobs.read_pool(shard.pool)
     cell = shard.pool.cell
     workers = []
--- a/chestnuttide/scheduler/_pool_state.py
+++ b/chestnuttide/scheduler/_pool_state.py
@@ -1,4 +1,4 @@
-"""State of the driver of a pool of workers."""
+"""State of a running worker pool and of the connections to its workers."""
 
 import asyncio
 import collections.abc
@@ -14,24 +14,24 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class WorkerLink:
-    """The conversation with one worker.
+    """State of the polling of one worker's agent.
 
     Attributes
     ----------
     worker_id : str
         Instance id.
     address : str
-        ``ip:port`` of its agent.
+        ``ip:port`` of the worker's agent.
     task : asyncio.Task or None
-        The sync loop.
+        The poll loop.
     acknowledged : list of Attempt
-        Ends to be acknowledged in the next sync.
+        Attempts whose completion the next poll acknowledges.
     starts : list of StartTask
-        Starts of this loop iteration.
+        Start commands to be sent at the end of this loop iteration.
     stops : list of StopTask
-        Stops of this loop iteration.
+        Stop commands to be sent at the end of this loop iteration.
     reports : tuple of AttemptReport
-        What the worker reported last.
+        The worker's most recent reports.
     digest : str
         Digest of `reports`; empty if there are none.
     """
@@ -48,7 +48,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class PoolShard:
-    """A pool of workers and its calls.
+    """A pool of workers that this instance owns.
 
     Attributes
     ----------
@@ -59,32 +59,33 @@
     epoch : int
         Epoch of the ownership.
     journal : Journal
-        Its journal.
+        The shard's journal.
     pool : PoolState
-        State of the pure part.
+        State of the pool filter.
     run_pool : Filter
-        The pure part.
+        The filter that decides about jobs and placement.
     feed : function
-        Feeds a message to the pure part and carries out what it decides.
+        Feeds a message to the filter and carries out its outputs.
     links : dict of str to WorkerLink
         Workers by instance id.
     starting : int
-        Starts that have not ended.
-    durable : list of int
-        Tokens of events to be reported as durable.
-    oldest_append : float
-        Time at which the oldest event that is not durable was appended; 0
-        if all are.
-    unsaved : int
-        Events that are not durable.
+        Number of start calls in flight.
+    durable_tokens : list of int
+        Tokens of durable events that the filter has not been told of yet.
+    journal_progress_at : float
+        Time of the last commit, or of the first append after all events
+        were durable; 0 before the first append.
+    pending_events : int
+        Number of appended events that are not durable yet.
     stalled : bool
-        Whether the journal does not commit.
-    flushing : bool
-        Whether the end of the loop iteration is waited for.
-    continuing : bool
-        Whether a step of long work is due in the next loop iteration.
+        Whether the journal has stopped committing.
+    flush_scheduled : bool
+        Whether a flush is scheduled for the next loop iteration.
+    continue_scheduled : bool
+        Whether another planning step is scheduled for the next loop
+        iteration.
     released : bool
-        Whether the shard was given up.
+        Whether this instance has released the shard.
     """
 
     daemon: _state.SchedulerState
@@ -96,10 +97,10 @@
     feed: collections.abc.Callable[[object], None] = lambda message: None
     links: dict[str, WorkerLink] = attrs.field(factory=dict)
     starting: int = 0
-    durable: list[int] = attrs.field(factory=list)
-    oldest_append: float = 0.0
-    unsaved: int = 0
+    durable_tokens: list[int] = attrs.field(factory=list)
+    journal_progress_at: float = 0.0
+    pending_events: int = 0
     stalled: bool = False
-    flushing: bool = False
-    continuing: bool = False
+    flush_scheduled: bool = False
+    continue_scheduled: bool = False
     released: bool = False
--- a/chestnuttide/scheduler/_pools.py
+++ b/chestnuttide/scheduler/_pools.py
@@ -1,4 +1,4 @@
-"""Driver of a pool of workers: the pure part, its timers and its journal."""
+"""Runs a worker pool: feeds its filter and carries out the outputs."""
 
 import asyncio
 import collections.abc
@@ -25,16 +25,16 @@
     recovery: coordination.Recovery,
     journal: _journals.Journal,
 ) -> _state.Shard:
-    """Return the running shard of a takeover.
+    """Return a shard that was taken over, ready to serve calls.
 
     Parameters
     ----------
     daemon : SchedulerState
         The daemon's state.
     acquired : ShardAcquired
-        The takeover.
+        Shard name, epoch and previous owner of the takeover.
     recovery : Recovery
-        What the former owners left in the journal.
+        Snapshot and events that the former owners stored.
     journal : Journal
         The open journal.
     """
@@ -57,7 +57,7 @@
         name=acquired.shard,
         epoch=acquired.epoch,
         journal=journal,
-        take=functools.partial(_pool_calls.take, shard),
+        handle_message=functools.partial(_pool_calls.handle_message, shard),
         tick=functools.partial(_tick, shard),
         put_config=lambda cell: _feed(
             shard, jobs.ConfigChanged(document=cell)
@@ -90,10 +90,10 @@
     for output in outputs:
         placed += isinstance(output, jobs.Placed)
         _carry_out(shard, output)
-    if not shard.continuing and jobs.is_busy(shard.pool, started):
-        # Long work is cut into short steps, so that other messages get
-        # their turn in between.
-        shard.continuing = True
+    if not shard.continue_scheduled and jobs.is_busy(shard.pool, started):
+        # Long planning is split into short steps so that the event loop
+        # can handle other messages in between.
+        shard.continue_scheduled = True
         asyncio.get_running_loop().call_soon(_continue, shard)
     if placed:
         shard.daemon.metrics.placement_seconds.observe(
@@ -102,18 +102,18 @@
 
 
 def _continue(shard: _pool_state.PoolShard) -> None:
-    shard.continuing = False
+    shard.continue_scheduled = False
     if not shard.released:
         _feed(shard, jobs.Tick())
 
 
 def _tick(shard: _pool_state.PoolShard) -> None:
     grace_s = shard.daemon.settings.coordination.store_grace_s
-    waited_s = time.monotonic() - shard.oldest_append
-    stalled = shard.unsaved > 0 and waited_s > grace_s
+    waited_s = time.monotonic() - shard.journal_progress_at
+    stalled = shard.pending_events > 0 and waited_s > grace_s
     if stalled != shard.stalled:
         shard.stalled = stalled
-        LOG.warning("the journal %s", "stalls" if stalled else "commits")
+        LOG.warning("the journal %s", "stalls" if stalled else "commits again")
         _feed(shard, jobs.JournalStalled(stalled=stalled))
     _feed(shard, jobs.Tick())
 
@@ -127,7 +127,7 @@
             _queue_command(shard, output)
         case jobs.ThrottleTask():
             _state.start_task(
-                shard.daemon, _worker_links.throttle(shard, output)
+                shard.daemon, _worker_links.throttle_task(shard, output)
             )
         case jobs.AcknowledgeEnd():
             link = shard.links.get(output.worker_id)
@@ -154,24 +154,25 @@
         case jobs.Refused():
             telemetry.count_refusal(metrics, output.reason)
         case jobs.Deposed():
-            # The shard's record will tell; until then workers refuse.
+            # The shard's record shows the new owner soon; until then workers
+            # reject this instance's commands.
             LOG.warning("a worker has seen a higher epoch", shard=shard.name)
         case _:
             pass
 
 
 def _append(shard: _pool_state.PoolShard, output: jobs.AppendEvent) -> None:
-    if shard.unsaved == 0:
-        shard.oldest_append = time.monotonic()
-    shard.unsaved += 1
-
-    def durable() -> None:
-        shard.unsaved -= 1
-        shard.oldest_append = time.monotonic()
-        shard.durable.append(output.token)
+    if shard.pending_events == 0:
+        shard.journal_progress_at = time.monotonic()
+    shard.pending_events += 1
+
+    def on_durable() -> None:
+        shard.pending_events -= 1
+        shard.journal_progress_at = time.monotonic()
+        shard.durable_tokens.append(output.token)
         _flush_soon(shard)
 
-    _journals.append(shard.journal, output.event, durable)
+    _journals.append(shard.journal, output.event, on_durable)
 
 
 def _queue_command(
@@ -188,16 +189,16 @@
 
 
 def _flush_soon(shard: _pool_state.PoolShard) -> None:
-    """Send all commands of one loop iteration together."""
-    if not shard.flushing:
-        shard.flushing = True
+    """Schedule a flush that batches this loop iteration's commands."""
+    if not shard.flush_scheduled:
+        shard.flush_scheduled = True
         asyncio.get_running_loop().call_soon(_flush, shard)
 
 
 def _flush(shard: _pool_state.PoolShard) -> None:
-    shard.flushing = False
-    if shard.durable:
-        tokens, shard.durable = tuple(shard.durable), []
+    shard.flush_scheduled = False
+    if shard.durable_tokens:
+        tokens, shard.durable_tokens = tuple(shard.durable_tokens), []
         _feed(shard, jobs.JournalDurable(tokens=tokens))
     for link in list(shard.links.values()):
         if link.starts:
@@ -227,17 +228,17 @@
     instances: collections.abc.Sequence[model.Instance],
 ) -> None:
     pools = shard.daemon.config.cell_config.pool.pools
-    mine = tuple(
+    pool_workers = tuple(
         each
         for each in instances
         if each.kind is model.InstanceKind.WORKER
         and model.pool_shard(each.instance_id, pools) == shard.name
     )
-    if not mine:
+    if not pool_workers:
         return
-    for each in mine:
+    for each in pool_workers:
         _worker_links.update_link(shard, each)
-    _feed(shard, jobs.WorkersChanged(instances=mine))
+    _feed(shard, jobs.WorkersChanged(instances=pool_workers))
 
 
 def _stop(shard: _pool_state.PoolShard) -> None:
--- a/chestnuttide/scheduler/_requests.py
+++ b/chestnuttide/scheduler/_requests.py
@@ -1,4 +1,4 @@
-"""Driver of a request shard: mesh calls, targets and the journal."""
+"""Runs a request shard: mesh calls, dispatches to targets, journal."""
 
 import asyncio
 import functools
@@ -24,7 +24,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class RequestShard:
-    """A request shard and its calls.
+    """A request shard that this instance owns.
 
     Attributes
     ----------
@@ -33,17 +33,17 @@
     name : str
         Name of the shard.
     service : str
-        Its service.
+        Service whose requests the shard routes.
     epoch : int
         Epoch of the ownership.
     journal : Journal
-        Its journal.
+        The shard's journal.
     router : RouterState
-        State of the pure part.
+        State of the router filter.
     run_router : Filter
-        The pure part.
+        The filter that queues and routes requests.
     calls : dict of int to (Connection, int)
-        Connection and mesh call number of each call.
+        Connection and mesh call id by the shard's own call number.
     next_call : int
         Number of the next call.
     intents : list of RecordIntent
@@ -51,11 +51,11 @@
     outcomes : list of RecordOutcome
         Outcomes to be journalled at the end of this loop iteration.
     next_token : int
-        Token of the last journalled intents.
-    flushing : bool
-        Whether the end of the loop iteration is waited for.
+        Token of the batch of intents journalled last.
+    flush_scheduled : bool
+        Whether a flush is scheduled for the next loop iteration.
     released : bool
-        Whether the shard was given up.
+        Whether this instance has released the shard.
     """
 
     daemon: _state.SchedulerState
@@ -70,7 +70,7 @@
     intents: list[routing.RecordIntent] = attrs.field(factory=list)
     outcomes: list[routing.RecordOutcome] = attrs.field(factory=list)
     next_token: int = 0
-    flushing: bool = False
+    flush_scheduled: bool = False
     released: bool = False
 
 
@@ -80,16 +80,16 @@
     recovery: coordination.Recovery,
     journal: _journals.Journal,
 ) -> _state.Shard:
-    """Return the running shard of a takeover.
+    """Return a shard that was taken over, ready to serve calls.
 
     Parameters
     ----------
     daemon : SchedulerState
         The daemon's state.
     acquired : ShardAcquired
-        The takeover.
+        Shard name, epoch and previous owner of the takeover.
     recovery : Recovery
-        What the former owners left in the journal.
+        Snapshot and events that the former owners stored.
     journal : Journal
         The open journal.
     """
@@ -126,7 +126,7 @@
         name=acquired.shard,
         epoch=acquired.epoch,
         journal=journal,
-        take=functools.partial(_take, shard),
+        handle_message=functools.partial(_handle_message, shard),
         tick=functools.partial(_feed, shard, routing.Tick()),
         put_config=functools.partial(_put_config, shard),
         put_instances=functools.partial(_put_instances, shard),
@@ -141,7 +141,7 @@
         describe=functools.partial(_describe, shard),
     )
     _put_instances(shard, list(daemon.instances.values()))
-    _apply_early_frees(shard)
+    _apply_early_freed_slots(shard)
     for target_id in daemon.leaving:
         running.put_leaving(target_id)
     return running
@@ -158,8 +158,8 @@
     }
 
 
-def _apply_early_frees(shard: RequestShard) -> None:
-    early = shard.daemon.early_frees
+def _apply_early_freed_slots(shard: RequestShard) -> None:
+    early = shard.daemon.early_freed_slots
     for name, target in [key for key in early if key[0] == shard.name]:
         count = early.pop((name, target))
         _feed(shard, routing.SlotsFreed(target_id=target, count=count))
@@ -170,12 +170,12 @@
         _carry_out(shard, output)
 
 
-def _take(
+def _handle_message(
     shard: RequestShard, connection: mesh.Connection, message: object
 ) -> None:
     match message:
         case mesh.RequestCall():
-            _take_call(shard, connection, message)
+            _handle_call(shard, connection, message)
         case mesh.RequestCancel():
             key = (connection, message.call_id)
             for call, origin in shard.calls.items():
@@ -183,7 +183,7 @@
                     _feed(shard, routing.CancelCall(call=call))
                     break
         case mesh.RequestRead():
-            _answer_read(shard, connection, message)
+            _reply_to_read(shard, connection, message)
         case mesh.SlotsFreed():
             _feed(
                 shard,
@@ -192,10 +192,10 @@
                 ),
             )
         case _:
-            LOG.warning("message %s is not taken", type(message).__name__)
+            LOG.warning("unexpected message %s", type(message).__name__)
 
 
-def _take_call(
+def _handle_call(
     shard: RequestShard,
     connection: mesh.Connection,
     message: mesh.RequestCall,
@@ -218,7 +218,7 @@
     )
 
 
-def _answer_read(
+def _reply_to_read(
     shard: RequestShard,
     connection: mesh.Connection,
     message: mesh.RequestRead,
@@ -255,7 +255,7 @@
 def make_request_reply(
     call_id: int, answer: model.Answer
 ) -> mesh.RequestReply:
-    """Return the reply that carries an answer or the refusal of a request."""
+    """Return the reply to a request, with its answer or refusal."""
     return mesh.RequestReply(
         call_id=call_id,
         request_id=answer.request_id,
@@ -269,7 +269,7 @@
 
 
 def make_refusal_reply(call_id: int, error: errors.RefusedError) -> mesh.Reply:
-    """Return the reply that carries a refusal."""
+    """Return the reply that reports an error."""
     return mesh.Reply(
         call_id=call_id,
         status=errors.HTTP_STATUS[error.reason],
@@ -320,14 +320,14 @@
 
 
 def _flush_soon(shard: RequestShard) -> None:
-    """Journal all intents and outcomes of one loop iteration together."""
-    if not shard.flushing:
-        shard.flushing = True
+    """Schedule a flush that batches this iteration's journal events."""
+    if not shard.flush_scheduled:
+        shard.flush_scheduled = True
         asyncio.get_running_loop().call_soon(_flush, shard)
 
 
 def _flush(shard: RequestShard) -> None:
-    shard.flushing = False
+    shard.flush_scheduled = False
     outcomes, shard.outcomes = shard.outcomes, []
     if outcomes:
         event = coordination.make_outcome_event(
@@ -412,7 +412,7 @@
             output.address, output.path
         )
     except errors.PlatformError:
-        # The slots stay occupied until their time or the next question.
+        # The slots stay occupied until they time out or the next query.
         return
     _feed(
         shard,
@@ -430,7 +430,7 @@
     shard: RequestShard, instances: list[model.Instance]
 ) -> None:
     shards = shard.router.policy.shards
-    mine = tuple(
+    shard_targets = tuple(
         each
         for each in instances
         if each.kind is model.InstanceKind.TARGET
@@ -438,8 +438,8 @@
         and model.target_shard(each.service, each.instance_id, shards)
         == shard.name
     )
-    if mine:
-        _feed(shard, routing.TargetsChanged(instances=mine))
+    if shard_targets:
+        _feed(shard, routing.TargetsChanged(instances=shard_targets))
 
 
 def _drop_connection(shard: RequestShard, connection: mesh.Connection) -> None:
@@ -461,7 +461,7 @@
     until = now + shard.router.policy.request_limit_s
     left = routing.residual(shard.router.pool, until=until)
     return {
-        target: tuple(max(0.0, time_ - now) for time_ in times)
+        target: tuple(max(0.0, free_at - now) for free_at in times)
         for target, times in left.items()
     }
 
--- a/chestnuttide/scheduler/_state.py
+++ b/chestnuttide/scheduler/_state.py
@@ -34,8 +34,8 @@
         Epoch of the ownership.
     journal : Journal
         Its journal.
-    take : function
-        ``take(connection, message)`` takes a mesh message for the shard.
+    handle_message : function
+        ``handle_message(connection, message)`` handles a mesh message.
     tick : function
         Lets the shard act on time.
     put_config : function
@@ -61,7 +61,7 @@
     name: str
     epoch: int
     journal: _journals.Journal
-    take: collections.abc.Callable[[mesh.Connection, object], None]
+    handle_message: collections.abc.Callable[[mesh.Connection, object], None]
     tick: collections.abc.Callable[[], None]
     put_config: collections.abc.Callable[[config_module.CellConfig], None]
     put_instances: collections.abc.Callable[
@@ -123,7 +123,7 @@
         Takeovers under way.
     releases : dict of str to asyncio.Task
         Handovers under way.
-    early_frees : dict of (str, str) to int
+    early_freed_slots : dict of (str, str) to int
         Slots that a former owner freed before the shard was taken over.
     patch_calls : dict of str to (Connection, int)
         Calls that wait for a config patch, by its token.
@@ -167,7 +167,7 @@
     former: dict[str, tuple[float, Shard]] = attrs.field(factory=dict)
     activations: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
     releases: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
-    early_frees: dict[tuple[str, str], int] = attrs.field(factory=dict)
+    early_freed_slots: dict[tuple[str, str], int] = attrs.field(factory=dict)
     patch_calls: dict[str, tuple[mesh.Connection, int]] = attrs.field(
         factory=dict
     )
--- a/chestnuttide/scheduler/_worker_links.py
+++ b/chestnuttide/scheduler/_worker_links.py
@@ -1,4 +1,4 @@
-"""Conversations of a pool's owner with the agents of its workers."""
+"""Polls worker agents for reports and sends them commands."""
 
 import asyncio
 import collections.abc
@@ -14,13 +14,13 @@
 from chestnuttide.scheduler import _state
 from chestnuttide import telemetry
 
-# Pauses before a worker that did not answer is asked again.
+# Bounds of the delay before an unresponsive worker is polled again.
 SYNC_RETRY_S = 0.2
 SYNC_RETRY_LIMIT_S = 2.0
-# Pause while this instance may not act, before it looks again.
-NOT_OWNER_PAUSE_S = 0.05
-# Of so many syncs one asks for all reports although nothing has changed, for
-# the sake of the usage in them. 24 tasks are some 4 KB of reports.
+# Interval of checks whether this instance may act for the shard again.
+NOT_OWNER_DELAY_S = 0.05
+# One poll in this many requests all reports even if nothing has changed,
+# because they carry resource usage. Reports of 24 tasks take some 4 KB.
 FULL_SYNC_EVERY = 5
 
 LOG = telemetry.make_logger("pool")
@@ -31,7 +31,7 @@
     link: _pool_state.WorkerLink,
     starts: list[jobs.StartTask],
 ) -> None:
-    """Send the starts of one loop iteration to a worker."""
+    """Send a worker the start commands of one loop iteration."""
     shard.starting += 1
     sent_at = time.monotonic()
     outcomes: dict[model.Attempt, jobs.StartOutcome] = {}
@@ -84,8 +84,8 @@
     attempts: list[model.Attempt],
     checkpoint: bool,
 ) -> None:
-    """Ask a worker to stop attempts."""
-    await _command(
+    """Send a worker the command to stop attempts."""
+    await _send_command(
         shard,
         lambda: shard.daemon.agents.stop(
             link.address, shard.epoch, attempts, checkpoint
@@ -93,14 +93,14 @@
     )
 
 
-async def throttle(
+async def throttle_task(
     shard: _pool_state.PoolShard, output: jobs.ThrottleTask
 ) -> None:
-    """Ask a worker to throttle an attempt."""
+    """Send a worker the command to throttle an attempt."""
     link = shard.links.get(output.worker_id)
     if link is None:
         return
-    await _command(
+    await _send_command(
         shard,
         lambda: shard.daemon.agents.throttle(
             link.address, shard.epoch, [output.attempt], output.share
@@ -108,36 +108,36 @@
     )
 
 
-async def _command(
+async def _send_command(
     shard: _pool_state.PoolShard,
     call: collections.abc.Callable[[], collections.abc.Awaitable[None]],
 ) -> None:
-    """Send a command whose loss the next sync report repairs."""
+    """Send a command; if it is lost, the next poll reply corrects that."""
     if not _state.may_act(shard.daemon, shard.name):
         return
     try:
         await call()
     except (errors.PlatformError, errors.DeposedError) as error:
-        LOG.info("a worker did not take a command: %s", error)
+        LOG.info("a worker did not accept a command: %s", error)
 
 
-async def _sync_loop(
+async def _poll_loop(
     shard: _pool_state.PoolShard, link: _pool_state.WorkerLink
 ) -> None:
-    """Renew the worker's leases and take its reports, until stopped."""
+    """Poll the worker and renew its leases until the shard is released."""
     after = 0
     failures = 0
-    turn = 0
+    poll_count = 0
     rng = random.Random()
     sync_s = shard.daemon.settings.coordination.worker_sync_s
-    # The first answer is wanted at once: it tells what runs on the worker.
+    # The first poll returns at once, since its reply lists the running tasks.
     wait_s = 0.0
     while not shard.released:
         if not (
             _state.may_act(shard.daemon, shard.name)
             and jobs.may_sync(shard.pool, link.worker_id)
         ):
-            await asyncio.sleep(NOT_OWNER_PAUSE_S)
+            await asyncio.sleep(NOT_OWNER_DELAY_S)
             continue
         lease_s = shard.daemon.config.cell_config.pool.task_lease_s
         sent_at = time.monotonic()
@@ -151,13 +151,13 @@
                 acknowledged,
                 wait_s,
                 after,
-                "" if turn % FULL_SYNC_EVERY == 0 else link.digest,
+                "" if poll_count % FULL_SYNC_EVERY == 0 else link.digest,
             )
         except (errors.PlatformError, errors.DeposedError) as error:
             link.acknowledged = acknowledged + link.acknowledged
             failures += 1
             wait_s = 0.0
-            turn = 0
+            poll_count = 0
             received = getattr(error, "sent", False)
             shard.feed(
                 jobs.SyncFailed(
@@ -176,7 +176,7 @@
             )
             continue
         failures = 0
-        turn += 1
+        poll_count += 1
         if result.reports is not None:
             link.reports = result.reports
         link.digest = result.digest
@@ -194,7 +194,7 @@
 def update_link(
     shard: _pool_state.PoolShard, instance: model.Instance
 ) -> None:
-    """Begin, keep or end the conversation with a worker."""
+    """Start, update or end the polling of a worker."""
     link = shard.links.get(instance.instance_id)
     if instance.state is model.InstanceState.GONE:
         if link is not None and link.task is not None:
@@ -206,5 +206,5 @@
             worker_id=instance.instance_id, address=instance.address
         )
         shard.links[link.worker_id] = link
-        link.task = _state.start_task(shard.daemon, _sync_loop(shard, link))
+        link.task = _state.start_task(shard.daemon, _poll_loop(shard, link))
     link.address = instance.address
