--- a/chestnuttide/scheduler/_daemon.py
+++ b/chestnuttide/scheduler/_daemon.py
@@ -162,9 +162,11 @@
     network.on_disconnected = lambda connection: _disconnected(
         state, connection
     )
-    state.on_acquired = lambda message: _takeover.acquired(state, message)
-    state.on_lost = lambda message: _takeover.lost(state, message)
-    state.on_should_release = lambda message: _takeover.should_release(
+    state.on_acquired = lambda message: _takeover.start_takeover(
+        state, message
+    )
+    state.on_lost = lambda message: _takeover.stop_serving(state, message)
+    state.on_should_release = lambda message: _takeover.start_handover(
         state, message
     )
     state.on_leaving = lambda target_id: _learn_leaving(
@@ -198,7 +200,7 @@
         _broadcast_all(state, heartbeat)
         _update_gauges(state)
         _forget_gone(state)
-        _takeover.forget_former(state)
+        _takeover.discard_former_shards(state)
         daemon.count_traffic(state.metrics, state.network.traffic, counted)
         await asyncio.sleep(state.settings.mesh.heartbeat_s)
 
@@ -331,7 +333,7 @@
                 ),
             )
         case _:
-            if not _membership.carry_ownership_message(state, message):
+            if not _membership.feed_ownership_message(state, message):
                 config_message = daemon.to_config_message(message)
                 if config_message is not None:
                     _configuration.feed(state, config_message)
--- a/chestnuttide/scheduler/_journals.py
+++ b/chestnuttide/scheduler/_journals.py
@@ -1,4 +1,4 @@
-"""Driver of one shard's journal and snapshots."""
+"""Runs one shard's journal and snapshots on the platform's store."""
 
 import asyncio
 import collections.abc
@@ -12,11 +12,11 @@
 from chestnuttide import platform
 from chestnuttide import telemetry
 
-# Pause before the store is asked again after it did not answer.
+# Delay before a read of the store is retried.
 STORE_RETRY_S = 0.2
-# Recoveries that may meet a writing predecessor before the takeover is given
-# up; the shard's record is read again then.
-RECOVERY_TRIES = 20
+# Recovery attempts before the takeover fails because the former owner keeps
+# writing or the store does not answer. The shard's record is read again then.
+RECOVERY_ATTEMPTS = 20
 
 LOG = telemetry.make_logger("journal")
 
@@ -34,29 +34,29 @@
     store : Store
         The platform's store.
     bucket : TokenBucket
-        Journal writes of the whole instance.
+        Limits the journal writes of the whole instance.
     metrics : Metrics
         The daemon's metrics.
     take_snapshot : function
         Returns the state of the shard after all events appended so far.
     on_deposed : function
-        Called once when another owner has written.
+        Called once when another owner has written to the journal.
     state : JournalState
-        State of the pure part that commits events.
+        State of the journal filter.
     run_journal, run_snapshots : Filter
-        The pure parts.
-    waiting : dict of int to function
+        The filters that commit events and write snapshots.
+    durable_callbacks : dict of int to function
         Called when the event with that token is durable.
     next_token : int
         Token of the next event.
     opened : asyncio.Event
-        Set when the journal is fenced and sealed, or cannot be.
+        Set when the journal is fenced and sealed, or this has failed.
     fenced, sealed, closed : bool
-        Progress; a closed journal takes no events.
+        Progress of the journal; a closed journal ignores new events.
     conflict : bool
-        Whether the predecessor wrote during the takeover.
+        Whether the former owner wrote during the takeover.
     tasks : set of asyncio.Task
-        Store calls under way.
+        Store calls in flight.
     """
 
     shard: str
@@ -69,8 +69,8 @@
     run_snapshots: pipes.Filter
     take_snapshot: collections.abc.Callable[[], bytes] = bytes
     on_deposed: collections.abc.Callable[[], None] = lambda: None
-    waiting: dict[int, collections.abc.Callable[[], None]] = attrs.field(
-        factory=dict
+    durable_callbacks: dict[int, collections.abc.Callable[[], None]] = (
+        attrs.field(factory=dict)
     )
     next_token: int = 1
     opened: asyncio.Event = attrs.field(factory=asyncio.Event)
@@ -101,23 +101,24 @@
     store : Store
         The platform's store.
     bucket : TokenBucket
-        Journal writes of the whole instance.
+        Limits the journal writes of the whole instance.
     metrics : Metrics
         The daemon's metrics.
     make_write_id : function
-        Returns a write id that was never used before.
+        Returns a new unique write id.
 
     Returns
     -------
     (Recovery, Journal)
-        What the former owners left, and the journal for new events.
+        The former owners' stored state, and the journal for new events.
 
     Raises
     ------
     errors.DeposedError
-        If a higher epoch has written, or the predecessor does not stop.
+        If a higher epoch has written, the former owner keeps writing, or the
+        store does not answer.
     """
-    for _ in range(RECOVERY_TRIES):
+    for _ in range(RECOVERY_ATTEMPTS):
         recovery = await _read_all(shard, store)
         if recovery is None:
             await asyncio.sleep(STORE_RETRY_S)
@@ -148,33 +149,33 @@
     event: bytes,
     on_durable: collections.abc.Callable[[], None] | None = None,
 ) -> None:
-    """Append an event; `on_durable` is called once it is in the store."""
+    """Append an event; `on_durable` is called once the event is stored."""
     if journal.closed:
         return
     token = journal.next_token
     journal.next_token += 1
     if on_durable is not None:
-        journal.waiting[token] = on_durable
+        journal.durable_callbacks[token] = on_durable
     _feed_journal(journal, coordination.Append(event=event, token=token))
 
 
 def tick(journal: Journal) -> None:
-    """Let the pure parts act on time."""
+    """Feed both filters a tick, so that they act on timeouts."""
     if not journal.closed:
         _feed_journal(journal, coordination.JournalTick())
         _feed_snapshots(journal, coordination.JournalTick())
 
 
 def is_idle(journal: Journal) -> bool:
-    """Return whether all events are in the store."""
+    """Return whether the journal is closed or has stored all events."""
     state = journal.state
     return journal.closed or not (state.pending or state.in_flight)
 
 
 def close(journal: Journal) -> None:
-    """Stop all writing."""
+    """Cancel the store calls in flight and ignore new events."""
     journal.closed = True
-    journal.waiting.clear()
+    journal.durable_callbacks.clear()
     for task in journal.tasks:
         task.cancel()
 
@@ -182,7 +183,7 @@
 async def _read_all(
     shard: str, store: platform.Store
 ) -> coordination.Recovery | None:
-    """Return what the former owners left; None if it has to be read again."""
+    """Return the former owners' state, or None if the read must be retried."""
     try:
         snapshots = await store.list_range(coordination.snapshot_prefix(shard))
         ring = await store.list_range(coordination.ring_prefix(shard))
@@ -193,16 +194,18 @@
     try:
         return coordination.plan_recovery(
             shard=shard,
-            manifest=None if manifest is None else _stored(manifest),
-            chunks=[_stored(e) for e in snapshots if e is not manifest],
-            ring=[_stored(e) for e in ring],
+            manifest=None if manifest is None else _to_stored_entry(manifest),
+            chunks=[
+                _to_stored_entry(e) for e in snapshots if e is not manifest
+            ],
+            ring=[_to_stored_entry(e) for e in ring],
         )
     except errors.ProtocolError as error:
-        LOG.warning("%s is read again: %s", shard, error)
+        LOG.warning("reading %s again: %s", shard, error)
         return None
 
 
-def _stored(entry: platform.Entry) -> coordination.StoredEntry:
+def _to_stored_entry(entry: platform.Entry) -> coordination.StoredEntry:
     return coordination.StoredEntry(
         key=entry.key, value=entry.value or b"", revision=entry.revision
     )
@@ -264,19 +267,19 @@
 def _carry_out(journal: Journal, output: object, feed: _Feed) -> None:
     match output:
         case coordination.WriteBatch():
-            _start(journal, _write(journal, output, feed))
+            _start_task(journal, _write(journal, output, feed))
         case coordination.ReadKey():
-            _start(journal, _read(journal, output, feed))
+            _start_task(journal, _read(journal, output, feed))
         case coordination.BudgetWanted():
-            _start(journal, _grant_write(journal))
+            _start_task(journal, _grant_write_budget(journal))
         case coordination.Durable():
             for token in output.tokens:
-                notify = journal.waiting.pop(token, None)
+                notify = journal.durable_callbacks.pop(token, None)
                 if notify is not None:
                     notify()
         case coordination.SnapshotDue():
-            taken = coordination.SnapshotTaken(data=journal.take_snapshot())
-            _feed_journal(journal, taken)
+            snapshot = coordination.SnapshotTaken(data=journal.take_snapshot())
+            _feed_journal(journal, snapshot)
         case coordination.SnapshotReady():
             _feed_snapshots(journal, output)
         case coordination.SnapshotWritten():
@@ -289,12 +292,12 @@
             journal.opened.set()
         case coordination.SealConflict() | coordination.ManifestConflict():
             journal.conflict = True
-            _end(journal)
+            _abort(journal)
         case coordination.Deposed():
-            _end(journal)
+            _abort(journal)
 
 
-def _end(journal: Journal) -> None:
+def _abort(journal: Journal) -> None:
     if journal.closed:
         return
     journal.closed = True
@@ -304,7 +307,7 @@
         journal.on_deposed()
 
 
-def _start(
+def _start_task(
     journal: Journal, coroutine: collections.abc.Coroutine[None, None, None]
 ) -> None:
     task = asyncio.ensure_future(coroutine)
@@ -312,8 +315,8 @@
     task.add_done_callback(journal.tasks.discard)
 
 
-async def _grant_write(journal: Journal) -> None:
-    """Wait for a token of the instance's bucket."""
+async def _grant_write_budget(journal: Journal) -> None:
+    """Wait for the instance's token bucket to permit a journal write."""
     while not coordination.take_tokens(journal.bucket, time.monotonic()):
         await asyncio.sleep(
             coordination.token_wait_s(journal.bucket, time.monotonic())
--- a/chestnuttide/scheduler/_membership.py
+++ b/chestnuttide/scheduler/_membership.py
@@ -1,6 +1,6 @@
-"""Driver of ownership: the lease, the member key, shard records, voters.
+"""Runs the ownership filter: lease, member key, shard records, voters.
 
-All keys lie below one prefix, so that one waiting watch tells of every change.
+All keys share one prefix, so that a single watch reports every change.
 """
 
 import asyncio
@@ -14,18 +14,18 @@
 from chestnuttide import telemetry
 
 CELL_PREFIX = "cell/"
-# A waiting watch counts as one call of the store.
+# Longer waits save store calls: each watch counts as one.
 WATCH_WAIT_S = 20.0
 STORE_RETRY_S = 0.2
-# Pause before a restarted instance asks again whether the member key of its
-# former start is gone.
+# Delay before a restarted instance retries to create its member key, which
+# exists until the lease of its former incarnation expires.
 MEMBER_RETRY_S = 0.2
 
 LOG = telemetry.make_logger("membership")
 
 
 async def keep_lease(state: _state.SchedulerState) -> None:
-    """Hold the instance's lease and its member key, until `leave`."""
+    """Keep the instance's lease and member key alive until `leave`."""
     while not state.left:
         if state.lease_id == 0:
             await _join(state)
@@ -35,7 +35,7 @@
 
 
 async def watch_cell(state: _state.SchedulerState) -> None:
-    """Read records, members and voters after each change, for ever."""
+    """Read records, members and voters after every change; never returns."""
     revision = 0
     while True:
         try:
@@ -49,13 +49,13 @@
 
 
 def feed(state: _state.SchedulerState, message: object) -> None:
-    """Feed the ownership filter and carry out what it decides."""
+    """Feed a message to the ownership filter and carry out its outputs."""
     for output in state.run_ownership(message, time.monotonic()):
         _carry_out(state, output)
 
 
 async def announce_leaving(state: _state.SchedulerState) -> None:
-    """Tell the members by the member key that this instance stops."""
+    """Mark this instance as leaving in its member key."""
     if not state.lease_id:
         return
     hello = state.network.hello
@@ -71,29 +71,29 @@
             state.lease_id,
         )
     except errors.SchedulerError as error:
-        LOG.warning("the stop could not be announced: %s", error)
+        LOG.warning("could not announce the stop: %s", error)
 
 
 async def leave(state: _state.SchedulerState) -> None:
-    """Give the lease back, which deletes the member key."""
+    """Revoke the lease, which deletes the member key."""
     state.left = True
     if not state.lease_id:
         return
     try:
         await state.lease_store.revoke_lease(state.lease_id)
     except errors.SchedulerError as error:
-        LOG.warning("the lease could not be given back: %s", error)
+        LOG.warning("could not revoke the lease: %s", error)
 
 
-def carry_ownership_message(
+def feed_ownership_message(
     state: _state.SchedulerState, message: object
 ) -> bool:
-    """Feed a message of the ownership protocol.
+    """Feed a message to the ownership filter if it is one of its protocol.
 
     Returns
     -------
     bool
-        Whether the message belongs to the protocol.
+        Whether the message belongs to the ownership protocol.
     """
     if not isinstance(
         message,
@@ -110,7 +110,7 @@
 
 
 def update_peers(state: _state.SchedulerState) -> None:
-    """Tell the ownership filter which schedulers are connected."""
+    """Feed the ownership filter the ids of the connected schedulers."""
     peers = frozenset(
         each.peer.sender for each in mesh.schedulers(state.network)
     )
@@ -122,10 +122,10 @@
 
 
 async def _join(state: _state.SchedulerState) -> None:
-    """Get a lease with the member key attached to it.
+    """Acquire a lease and create the member key attached to it.
 
-    The key is created on absence only, so a restarted instance waits until
-    the lease of its former start has ended.
+    The key is created only if it is absent, so a restarted instance waits
+    until the lease of its former incarnation has expired.
     """
     ttl_s = state.settings.coordination.lease_ttl_s
     hello = state.network.hello
@@ -170,7 +170,7 @@
     try:
         await state.lease_store.revoke_lease(lease_id)
     except errors.SchedulerError:
-        # It ends by itself after its time to live.
+        # The lease expires after its time to live.
         return
 
 
@@ -181,7 +181,7 @@
     try:
         await state.lease_store.renew_lease(state.lease_id)
     except errors.StoreUnavailableError:
-        _note_reachable(state, False)
+        _log_reachability(state, False)
         feed(state, coordination.StoreReachable(reachable=False))
         return
     except errors.LeaseExpiredError:
@@ -191,7 +191,7 @@
         state.lease_id = 0
         feed(state, coordination.LeaseLost())
         return
-    _note_reachable(state, True)
+    _log_reachability(state, True)
     feed(
         state,
         coordination.LeaseRenewed(
@@ -202,15 +202,20 @@
     )
 
 
-def _note_reachable(state: _state.SchedulerState, reachable: bool) -> None:
+def _log_reachability(state: _state.SchedulerState, reachable: bool) -> None:
     if state.ownership.store_reachable and not reachable:
-        LOG.warning("the store does not answer; promises are asked for")
+        LOG.warning(
+            "the store does not answer; requesting promises from peers"
+        )
     if not state.ownership.store_reachable and reachable:
         LOG.info("the store answers again")
 
 
 async def _read_cell(state: _state.SchedulerState) -> None:
-    """Read records, then members, as the claims' proof requires."""
+    """Feed the voters, the shard records and the members, in this order.
+
+    The proof that claims are safe requires records before members.
+    """
     sent_at = time.monotonic()
     entries = await state.store.list_range(CELL_PREFIX)
     shards_prefix = CELL_PREFIX + coordination.SHARDS_PREFIX
@@ -296,8 +301,8 @@
     wanted: coordination.WriteShardRecord,
     key: str,
 ) -> coordination.ClaimResult:
-    """Find out whether a write took effect whose answer was lost."""
-    entry = await _get_until_answered(state, key)
+    """Read a record to learn whether an unanswered write took effect."""
+    entry = await _get_with_retries(state, key)
     if entry is None or entry.value is None:
         return coordination.ClaimResult(
             shard=wanted.shard,
@@ -329,10 +334,10 @@
         )
     except errors.SchedulerError as error:
         LOG.info("the voters were not written: %s", error)
-    feed(state, _to_voters(await _get_until_answered(state, key)))
+    feed(state, _to_voters(await _get_with_retries(state, key)))
 
 
-async def _get_until_answered(
+async def _get_with_retries(
     state: _state.SchedulerState, key: str
 ) -> platform.Entry | None:
     while True:
--- a/chestnuttide/scheduler/_takeover.py
+++ b/chestnuttide/scheduler/_takeover.py
@@ -1,4 +1,4 @@
-"""Taking shards over and handing them over."""
+"""Takes shards over from former owners and hands them over."""
 
 import asyncio
 import collections.abc
@@ -18,26 +18,26 @@
 from chestnuttide.scheduler import _state
 from chestnuttide import telemetry
 
-# Seconds that a handover waits for dispatches to end, because slots in use
-# are occupied for the successor until it hears of their end.
+# Time that a handover waits for dispatches to end. Slots still in use then
+# stay occupied at the next owner until it learns that they are free.
 HANDOVER_WAIT_S = 0.5
-# Seconds that a handover waits for the journal.
+# Time that a handover waits for the journal to commit all events.
 FLUSH_WAIT_S = 2.0
 POLL_S = 0.01
-# Seconds for which the answers of a shard that was given up are kept, for
-# callers whose entry was lost at the same time.
-FORMER_KEPT_S = 60.0
-# Bounds of the pause before a takeover that failed is tried again.
+# Time for which a released shard's answers are kept, for callers whose entry
+# failed at the same time.
+FORMER_RETENTION_S = 60.0
+# Bounds of the delay before a failed takeover is retried.
 TAKEOVER_RETRY_S = 0.2
 TAKEOVER_RETRY_LIMIT_S = 5.0
 
 LOG = telemetry.make_logger("takeover")
 
 
-def acquired(
+def start_takeover(
     state: _state.SchedulerState, message: coordination.ShardAcquired
 ) -> None:
-    """Begin to take a shard over."""
+    """Start the takeover of a shard."""
     LOG.info(
         "shard %s is acquired",
         message.shard,
@@ -52,10 +52,10 @@
     )
 
 
-def lost(
+def stop_serving(
     state: _state.SchedulerState, message: coordination.ShardLost
 ) -> None:
-    """Stop serving a shard that this instance no longer owns."""
+    """Stop serving a shard whose ownership was lost."""
     LOG.info(
         "shard %s is lost",
         message.shard,
@@ -74,10 +74,10 @@
         announce_shards(state)
 
 
-def should_release(
+def start_handover(
     state: _state.SchedulerState, message: coordination.ShouldRelease
 ) -> None:
-    """Begin to hand a shard over."""
+    """Start the handover of a shard to another instance."""
     if message.shard in state.releases:
         return
     task = _state.start_task(state, _release(state, message))
@@ -94,7 +94,7 @@
 
 
 def owned_shards(state: _state.SchedulerState) -> mesh.OwnedShards:
-    """Return the message that names the shards served here."""
+    """Return the message that lists the shards that this instance serves."""
     return mesh.OwnedShards(
         shards=tuple(
             (shard.name, shard.epoch) for shard in state.shards.values()
@@ -103,21 +103,21 @@
     )
 
 
-def forget_former(state: _state.SchedulerState) -> None:
-    """Forget shards that were given up a while ago."""
-    oldest = time.monotonic() - FORMER_KEPT_S
-    for name, (given_up_at, _) in list(state.former.items()):
-        if given_up_at < oldest:
+def discard_former_shards(state: _state.SchedulerState) -> None:
+    """Discard released shards whose retention time is over."""
+    oldest = time.monotonic() - FORMER_RETENTION_S
+    for name, (released_at, _) in list(state.former.items()):
+        if released_at < oldest:
             del state.former[name]
 
 
 async def _activate(
     state: _state.SchedulerState, message: coordination.ShardAcquired
 ) -> None:
-    """Take a shard over; a failure is tried again while it is owned.
+    """Take a shard over, retrying failures while this instance owns it.
 
-    A shard that cannot be recovered must not stop the others, and would fail
-    at the next owner as well.
+    A shard that cannot be recovered must not stop the other shards. Handing
+    it over would not help, as recovery would fail at the next owner too.
     """
     started = time.monotonic()
     failures = 0
