--- a/chestnuttide/scheduler/_configuration.py
+++ b/chestnuttide/scheduler/_configuration.py
@@ -1,4 +1,4 @@
-"""Driver of the config: store calls, peers, and operators' patches."""
+"""Runs the config filter: store calls, peers, operators' patches."""
 
 import asyncio
 import json
@@ -15,8 +15,8 @@
 from chestnuttide.scheduler import _state
 from chestnuttide import telemetry
 
-# Only the first schedulers in the order for this key hold a watch; the
-# others hear of versions from them over the mesh.
+# Only the first schedulers in the ranking for this key watch the store; the
+# others get new versions from them over the mesh.
 WATCH_RANK_KEY = "config"
 WATCHERS = 2
 WATCH_WAIT_S = 20.0
@@ -26,7 +26,7 @@
 
 
 def feed(state: _state.SchedulerState, message: object) -> None:
-    """Feed the config filter and carry out what it decides."""
+    """Feed a message to the config filter and carry out its outputs."""
     for output in state.run_config(message, time.monotonic()):
         _carry_out(state, output)
 
@@ -36,7 +36,7 @@
     connection: mesh.Connection,
     message: mesh.PatchSubmit,
 ) -> None:
-    """Take an operator's patch."""
+    """Feed an operator's patch to the config filter."""
     token = f"{connection.peer.incarnation}/{message.call_id}"
     state.patch_calls[token] = (connection, message.call_id)
     feed(
@@ -51,12 +51,12 @@
     )
 
 
-def answer_read(
+def reply_to_read(
     state: _state.SchedulerState,
     connection: mesh.Connection,
     message: mesh.ConfigRead,
 ) -> None:
-    """Answer with a document or the history."""
+    """Reply with a version of the config document or with its history."""
     history = state.config.history
     try:
         if message.history:
@@ -88,12 +88,12 @@
     mesh.send_if_possible(connection, reply)
 
 
-def answer_fetch(
+def reply_to_fetch(
     state: _state.SchedulerState,
     connection: mesh.Connection,
     message: mesh.ConfigFetch,
 ) -> None:
-    """Send a peer the versions that it lacks."""
+    """Send a peer the config versions that it lacks."""
     history = state.config.history
     if message.after >= history.version:
         return
@@ -115,14 +115,14 @@
             await _load_snapshot(state)
             await _load_patches(state)
         except errors.StoreUnavailableError:
-            # A peer may have it; the mesh is being connected meanwhile.
+            # A peer may send the config over the mesh in the meantime.
             await asyncio.sleep(STORE_RETRY_S)
         else:
             return
 
 
 async def watch(state: _state.SchedulerState) -> None:
-    """Hold a watch on new versions while this instance is to, for ever."""
+    """Watch the store whenever this instance is a watcher; never returns."""
     revision = 0
     while True:
         if not _is_watcher(state):
@@ -172,13 +172,13 @@
             manifest.value, [each.value for each in chunks if each]
         )
     except errors.ProtocolError as error:
-        LOG.warning("the snapshot is passed over: %s", error)
+        LOG.warning("ignoring an unreadable snapshot: %s", error)
         return
     feed(state, config_module.SnapshotReceived(snapshot=snapshot))
 
 
 async def _load_patches(state: _state.SchedulerState) -> int:
-    """Read the versions after the head; returns the last store revision."""
+    """Read the versions after the current one; return the last revision."""
     revision = 0
     while True:
         version = state.config.history.version
@@ -218,7 +218,7 @@
         case config_module.PatchRefused():
             _refuse(state, output)
         case config_module.ConfigAdopted():
-            _put_in_force(state, output)
+            _apply_config(state, output)
         case config_module.ConfigUnreadable():
             LOG.error(
                 "version %d is unusable: %s", output.version, output.error
@@ -255,7 +255,7 @@
         )
 
 
-def _put_in_force(
+def _apply_config(
     state: _state.SchedulerState, output: config_module.ConfigAdopted
 ) -> None:
     LOG.info("version %d is in force", output.version)
@@ -315,7 +315,7 @@
 async def _write_snapshot(
     state: _state.SchedulerState, output: config_module.WriteSnapshot
 ) -> None:
-    """Store a snapshot; it only shortens starts, so a failure is logged."""
+    """Store a snapshot. It only speeds up starts, so failures are logged."""
     snapshot = output.snapshot
     try:
         former = await state.store.get(snapshot.manifest_key)
--- a/chestnuttide/scheduler/_daemon.py
+++ b/chestnuttide/scheduler/_daemon.py
@@ -1,4 +1,4 @@
-"""The scheduler daemon: wiring, mesh messages, planned stop."""
+"""The scheduler daemon: set-up, mesh messages, planned stop."""
 
 import asyncio
 import itertools
@@ -24,35 +24,35 @@
 from chestnuttide import settings as settings_module
 from chestnuttide import telemetry
 
-# Seconds between two ticks of the pure parts; bounds how late a deadline is
-# noticed.
+# Interval between ticks of the shards; bounds how late an expired deadline is
+# detected.
 TICK_S = 0.05
-# Ticks of the shards for one of ownership, the config and the journals, whose
-# times are tenths of seconds and more.
+# Number of shard ticks for one tick of ownership, the config and the journals,
+# whose timeouts are tenths of seconds or longer.
 OWNERSHIP_TICKS = 2
 CONFIG_TICKS = 4
 JOURNAL_TICKS = 4
-# A lease renewal must fail soon enough for promises to be asked for while
-# the lease still holds.
+# Timeout of lease calls as a share of the lease's time to live. A renewal must
+# fail early enough to request promises while the lease is still valid.
 LEASE_TIMEOUT_SHARE = 0.2
-# Journal writes that may be made at once after a quiet time.
+# Idle time whose unused journal writes may be made in one burst.
 JOURNAL_BURST_S = 1.0
 AGENT_TIMEOUT_S = 2.0
-# Seconds after which a patch is answered although the store left it open;
-# the entry waits longer, so that the caller gets this answer.
+# Time after which a patch is answered even if its outcome in the store is
+# unknown. The entry waits longer, so that the caller gets this answer.
 PATCH_WAIT_S = 5.0
-# Each worker of the pools served here holds one; above the 400 workers of
-# four pools at the target size. Each costs some 8 KB.
+# Limit of concurrent polls, one for each worker of the owned pools. It exceeds
+# the 400 workers of four pools at the target size. Each takes some 8 KB.
 MAX_SYNCS = 1024
-# Leases for which a worker or target that is gone is remembered.
-GONE_KEPT_LEASES = 3
+# Number of task lease periods for which gone instances are remembered.
+GONE_RETENTION_LEASES = 3
 POLL_S = 0.02
 
 LOG = telemetry.make_logger("scheduler")
 
 
 def make_state(settings: settings_module.Settings) -> _state.SchedulerState:
-    """Return the state of a scheduler that is not connected yet."""
+    """Return the state of a scheduler before it connects to its peers."""
     metrics = telemetry.make_metrics()
     network = daemon.make_network(settings, "scheduler")
     incarnation = network.hello.incarnation
@@ -130,7 +130,7 @@
             daemon.poll_instances(
                 settings,
                 "",
-                lambda instances: _take_instances(state, instances),
+                lambda instances: _apply_instances(state, instances),
             ),
             _tick(state),
             _send_heartbeats(state),
@@ -141,7 +141,8 @@
         [stop, *loops], return_when=asyncio.FIRST_COMPLETED
     )
     for each in done - {stop}:
-        # No loop ends by itself before the stop; another instance takes over.
+        # The loops never return, so one has failed. After the exit another
+        # instance takes over.
         LOG.critical("a loop has failed", exc_info=each.exception())
         sys.exit(1)
     await _stop(state)
@@ -153,13 +154,13 @@
 
 
 def _connect_parts(state: _state.SchedulerState) -> None:
-    """Set the functions by which the parts call each other."""
+    """Set the callbacks between the network, ownership and shards."""
     network = state.network
-    network.on_message = lambda connection, message: _take_safely(
+    network.on_message = lambda connection, message: _handle_safely(
         state, connection, message
     )
-    network.on_connected = lambda connection: _connected(state, connection)
-    network.on_disconnected = lambda connection: _disconnected(
+    network.on_connected = lambda connection: _on_connected(state, connection)
+    network.on_disconnected = lambda connection: _on_disconnected(
         state, connection
     )
     state.on_acquired = lambda message: _takeover.start_takeover(
@@ -169,8 +170,8 @@
     state.on_should_release = lambda message: _takeover.start_handover(
         state, message
     )
-    state.on_leaving = lambda target_id: _learn_leaving(
-        state, (target_id,), tell=True
+    state.on_leaving = lambda target_id: _mark_leaving(
+        state, (target_id,), broadcast=True
     )
     state.broadcast = lambda message: _broadcast(state, message)
 
@@ -181,14 +182,14 @@
 
 
 async def _tick(state: _state.SchedulerState) -> None:
-    for turn in itertools.count():
+    for tick_number in itertools.count():
         await asyncio.sleep(TICK_S)
-        if turn % OWNERSHIP_TICKS == 0:
+        if tick_number % OWNERSHIP_TICKS == 0:
             _membership.feed(state, coordination.Tick())
-        if turn % CONFIG_TICKS == 0:
+        if tick_number % CONFIG_TICKS == 0:
             _configuration.feed(state, config_module.Tick())
         for shard in list(state.shards.values()):
-            if turn % JOURNAL_TICKS == 0:
+            if tick_number % JOURNAL_TICKS == 0:
                 _journals.tick(shard.journal)
             shard.tick()
 
@@ -199,7 +200,7 @@
         heartbeat = mesh.Heartbeat(config_version=state.config.history.version)
         _broadcast_all(state, heartbeat)
         _update_gauges(state)
-        _forget_gone(state)
+        _discard_gone_instances(state)
         _takeover.discard_former_shards(state)
         daemon.count_traffic(state.metrics, state.network.traffic, counted)
         await asyncio.sleep(state.settings.mesh.heartbeat_s)
@@ -210,12 +211,12 @@
         state.metrics.queue_length.set({"queue": shard.name}, shard.waiting())
 
 
-def _forget_gone(state: _state.SchedulerState) -> None:
-    """Forget workers and targets whose last leases have surely ended.
+def _discard_gone_instances(state: _state.SchedulerState) -> None:
+    """Discard gone workers and targets whose leases must have expired.
 
-    A takeover waits for the leases of the workers that it is told of.
+    Until then a takeover needs them to wait for their leases.
     """
-    oldest = time.monotonic() - GONE_KEPT_LEASES * (
+    oldest = time.monotonic() - GONE_RETENTION_LEASES * (
         state.config.cell_config.pool.task_lease_s
     )
     for instance_id, gone_at in list(state.gone_at.items()):
@@ -234,7 +235,7 @@
         mesh.send_if_possible(connection, message)
 
 
-def _connected(
+def _on_connected(
     state: _state.SchedulerState, connection: mesh.Connection
 ) -> None:
     LOG.info(
@@ -254,7 +255,7 @@
         _membership.update_peers(state)
 
 
-def _disconnected(
+def _on_disconnected(
     state: _state.SchedulerState, connection: mesh.Connection
 ) -> None:
     LOG.info("lost %s %s", connection.peer.kind, connection.peer.sender)
@@ -264,30 +265,30 @@
         _membership.update_peers(state)
 
 
-def _take_safely(
+def _handle_safely(
     state: _state.SchedulerState, connection: mesh.Connection, message: object
 ) -> None:
-    """Take a message; a fault in it must not end the connection.
+    """Handle a message without letting a failure close the connection.
 
-    All other calls on the connection would be lost with it.
+    Closing it would lose all other calls on the connection.
     """
     try:
-        _take_message(state, connection, message)
+        _handle_message(state, connection, message)
     except Exception:
-        LOG.exception("message %s has failed", type(message).__name__)
+        LOG.exception("handling message %s failed", type(message).__name__)
         call_id = getattr(message, "call_id", None)
         if call_id is None or isinstance(message, mesh.RequestCancel):
             return
         error = errors.RefusedError(
             reason=errors.Reason.INTERNAL,
-            message="The scheduler failed while it took the call.",
+            message="The scheduler failed while handling the call.",
             remedy="Read the state of your call, and report the log line.",
             run_state=errors.RunState.UNKNOWN,
         )
         _refuse_call(state, connection, message, error)
 
 
-def _take_message(
+def _handle_message(
     state: _state.SchedulerState, connection: mesh.Connection, message: object
 ) -> None:
     match message:
@@ -298,25 +299,25 @@
             | mesh.JobRead()
             | mesh.JobCancel()
         ):
-            _take_shard_call(state, connection, message)
+            _handle_shard_call(state, connection, message)
         case mesh.RequestCancel():
             for shard in list(state.shards.values()):
                 if not model.is_pool(shard.name):
                     shard.handle_message(connection, message)
         case mesh.SlotsFreed():
-            _take_slots_freed(state, connection, message)
+            _handle_slots_freed(state, connection, message)
         case mesh.TargetsLeaving():
-            _learn_leaving(state, message.targets, tell=False)
+            _mark_leaving(state, message.targets, broadcast=False)
         case mesh.PatchSubmit():
             _configuration.submit_patch(state, connection, message)
         case mesh.ConfigRead():
-            _configuration.answer_read(state, connection, message)
+            _configuration.reply_to_read(state, connection, message)
         case mesh.ConfigFetch():
-            _configuration.answer_fetch(state, connection, message)
+            _configuration.reply_to_fetch(state, connection, message)
         case mesh.StatusRead():
-            _answer_status(state, connection, message)
+            _reply_to_status(state, connection, message)
         case mesh.Drain():
-            LOG.info("a drain is asked for by %s", connection.peer.sender)
+            LOG.info("%s requested a drain", connection.peer.sender)
             state.stop.set()
             mesh.send_if_possible(
                 connection,
@@ -339,7 +340,7 @@
                     _configuration.feed(state, config_message)
 
 
-def _take_shard_call(
+def _handle_shard_call(
     state: _state.SchedulerState, connection: mesh.Connection, message: object
 ) -> None:
     shard = state.shards.get(message.shard)
@@ -372,7 +373,7 @@
     mesh.send_if_possible(connection, reply)
 
 
-def _take_slots_freed(
+def _handle_slots_freed(
     state: _state.SchedulerState,
     connection: mesh.Connection,
     message: mesh.SlotsFreed,
@@ -387,24 +388,24 @@
         )
 
 
-def _learn_leaving(
-    state: _state.SchedulerState, targets: tuple[str, ...], *, tell: bool
+def _mark_leaving(
+    state: _state.SchedulerState, targets: tuple[str, ...], *, broadcast: bool
 ) -> None:
-    news = tuple(each for each in targets if each not in state.leaving)
-    if not news:
+    new_targets = tuple(each for each in targets if each not in state.leaving)
+    if not new_targets:
         return
-    state.leaving.update(news)
+    state.leaving.update(new_targets)
     for shard in list(state.shards.values()):
-        for target_id in news:
+        for target_id in new_targets:
             shard.put_leaving(target_id)
-    if tell:
-        _broadcast(state, mesh.TargetsLeaving(targets=news))
+    if broadcast:
+        _broadcast(state, mesh.TargetsLeaving(targets=new_targets))
 
 
-def _take_instances(
+def _apply_instances(
     state: _state.SchedulerState, instances: tuple[model.Instance, ...]
 ) -> None:
-    left = []
+    leaving_ids = []
     for each in instances:
         state.instances[each.instance_id] = each
         state.gone_at.pop(each.instance_id, None)
@@ -416,17 +417,18 @@
             each.kind is model.InstanceKind.TARGET
             and each.state is model.InstanceState.LEAVING
         ):
-            left.append(each.instance_id)
+            leaving_ids.append(each.instance_id)
     for shard in list(state.shards.values()):
         shard.put_instances(instances)
-    # The list reaches instances at different times; the first one tells.
-    _learn_leaving(state, tuple(left), tell=True)
+    # Instances read the list at different times; the first one to see a
+    # leaving target informs the others.
+    _mark_leaving(state, tuple(leaving_ids), broadcast=True)
     if any(each.kind is model.InstanceKind.ENTRY for each in instances):
         _update_schedulers(state)
 
 
 def _update_schedulers(state: _state.SchedulerState) -> None:
-    """Dial the schedulers with higher ids; the others dial this one."""
+    """Connect to schedulers with higher ids; the others connect here."""
     own = state.settings.instance_id
     addresses: dict[str, str] = {}
     daemon.update_addresses(addresses, tuple(state.instances.values()))
@@ -447,7 +449,7 @@
     _membership.feed(state, coordination.InstancesGone(ids=gone))
 
 
-def _answer_status(
+def _reply_to_status(
     state: _state.SchedulerState,
     connection: mesh.Connection,
     message: mesh.StatusRead,
@@ -487,7 +489,7 @@
 
 
 async def _stop(state: _state.SchedulerState) -> None:
-    """Hand all shards over and finish all dispatches in flight."""
+    """Hand over all shards and wait for the dispatches in flight."""
     LOG.info("stopping")
     state.draining = True
     deadline = time.monotonic() + state.settings.coordination.stop_grace_s
@@ -497,8 +499,8 @@
     _takeover.announce_shards(state)
     while time.monotonic() < deadline:
         in_flight = sum(shard.in_flight() for shard in served)
-        holding = state.ownership.held
-        if not in_flight and not holding and not state.releases:
+        owned = state.ownership.held
+        if not in_flight and not owned and not state.releases:
             break
         await asyncio.sleep(POLL_S)
     else:
--- a/chestnuttide/scheduler/_state.py
+++ b/chestnuttide/scheduler/_state.py
@@ -23,8 +23,8 @@
 class Shard:
     """A shard that this instance serves.
 
-    The functions are filled by the kind of shard, so that the rest of the
-    daemon treats all shards alike.
+    Request shards and pools set the functions, so that the rest of the
+    daemon treats both kinds alike.
 
     Attributes
     ----------
@@ -33,21 +33,21 @@
     epoch : int
         Epoch of the ownership.
     journal : Journal
-        Its journal.
+        The shard's journal.
     handle_message : function
         ``handle_message(connection, message)`` handles a mesh message.
     tick : function
-        Lets the shard act on time.
+        Feeds the shard's filter a tick, so that it acts on timeouts.
     put_config : function
-        ``put_config(cell_config)`` puts a config version in force.
+        ``put_config(cell_config)`` applies a config version.
     put_instances : function
-        ``put_instances(instances)`` takes changes of the instance list.
+        ``put_instances(instances)`` applies changes of the instance list.
     put_leaving : function
         ``put_leaving(target_id)`` marks a target as leaving.
     drop_connection : function
-        ``drop_connection(connection)`` forgets calls of a lost connection.
+        ``drop_connection(connection)`` cancels calls of a lost connection.
     stop : function
-        Dispatches and places nothing more; sends back what was not sent.
+        Ends dispatching and placing; returns queued calls unsent.
     in_flight : function
         Returns the number of dispatches that have not ended.
     residual : function
@@ -55,7 +55,7 @@
     waiting : function
         Returns the number of requests or tasks that wait.
     describe : function
-        Returns the shard's rows of the status, by table.
+        Returns the shard's rows of the status document, by table.
     """
 
     name: str
@@ -78,7 +78,7 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class SchedulerState:
-    """Everything that the parts of the daemon share.
+    """State that the modules of the daemon share.
 
     Attributes
     ----------
@@ -93,56 +93,57 @@
     lease_store : Store
         The same store with a timeout short enough for lease renewals.
     targets : Targets
-        The targets of services.
+        Client of the services' targets.
     agents : WorkerAgent
-        The agents of workers.
+        Client of the workers' agents.
     ownership : OwnershipState
-        Leases, shard records and promises.
+        State of the ownership filter: leases, shard records, promises.
     run_ownership : Filter
-        The pure part that decides about shards.
+        The filter that decides which shards this instance owns.
     config : ConfigState
         The config in force.
     run_config : Filter
-        The pure part that decides about the config.
+        The filter that decides which config version is in force.
     bucket : TokenBucket
-        Journal writes of this instance.
+        Limits the journal writes of this instance.
     write_ids : iterator of str
-        Write ids that were never used before.
+        Yields unique write ids.
     instances : dict of str to Instance
-        The platform's list.
+        Instances on the platform's list, by id.
     gone_at : dict of str to float
         Time at which a worker or target was first seen as gone.
     leaving : set of str
-        Targets that are leaving according to themselves or to a peer.
+        Targets reported as leaving by themselves, the list or a peer.
     shards : dict of str to Shard
         Shards that this instance serves.
     former : dict of str to (float, Shard)
-        Shards that were given up, with the time: their dispatches in flight
-        still end here, and their answers are kept here.
+        Shards that were released or lost, with the time. Their dispatches in
+        flight end on this instance, which also keeps their answers.
     activations : dict of str to asyncio.Task
-        Takeovers under way.
+        Takeovers in progress.
     releases : dict of str to asyncio.Task
-        Handovers under way.
+        Handovers in progress.
     early_freed_slots : dict of (str, str) to int
-        Slots that a former owner freed before the shard was taken over.
+        Number of slots, by shard and target, that a former owner freed
+        before the takeover was complete.
     patch_calls : dict of str to (Connection, int)
-        Calls that wait for a config patch, by its token.
+        Calls that submitted a config patch, by its token.
     tasks : set of asyncio.Task
-        Store and target calls under way.
+        Background calls in flight.
     lease_id : int
         The instance's lease; 0 while it has none.
     member_revision : int
         Store revision of the member key.
     draining : bool
-        Whether a planned stop has begun.
+        Whether a planned stop has started.
     left : bool
-        Whether the lease was given back for good.
+        Whether the instance has left and acquires no further lease.
     stop : asyncio.Event
-        Set to begin a planned stop.
+        Set to start a planned stop.
     on_acquired, on_lost, on_should_release : function
-        Called with the ownership filter's decision about a shard.
+        Called with the ownership filter's decisions about a shard.
     on_leaving : function
-        Called with the id of a target that says itself that it is leaving.
+        Called with the id of a target that announces that it is leaving.
     broadcast : function
         ``broadcast(message)`` sends a message to all other schedulers.
     """
@@ -194,7 +195,7 @@
     state: SchedulerState,
     coroutine: collections.abc.Coroutine[None, None, None],
 ) -> asyncio.Task[None]:
-    """Run a coroutine in the background and keep hold of its task."""
+    """Run a coroutine as a background task, and log its failure."""
     task = asyncio.ensure_future(coroutine)
     state.tasks.add(task)
     task.add_done_callback(state.tasks.discard)
