--- a/chestnuttide/daemon/__init__.py
+++ b/chestnuttide/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""What the entry and the scheduler daemon share."""
+"""Code that the entry and the scheduler daemon share."""
 
 from chestnuttide.daemon import _instances
 from chestnuttide.daemon import _main
--- a/chestnuttide/daemon/_instances.py
+++ b/chestnuttide/daemon/_instances.py
@@ -9,7 +9,7 @@
 from chestnuttide import settings as settings_module
 from chestnuttide import telemetry
 
-# A poll is short; a slow list must not delay the next poll for long.
+# Short, so that a slow reply does not delay the next poll for long.
 LIST_TIMEOUT_S = 2.0
 
 LOG = telemetry.make_logger("instances")
@@ -20,17 +20,17 @@
     kind: str,
     on_changes: collections.abc.Callable[[tuple[model.Instance, ...]], None],
 ) -> None:
-    """Report changes of the instance list, for ever.
+    """Poll the instance list and report its changes; never returns.
 
     Parameters
     ----------
     settings : Settings
         The instance's settings.
     kind : str
-        Kind of instances to ask for; empty for all.
+        Kind of instances to request; empty for all.
     on_changes : function
         Called with the changed instances after each poll that found some.
-        While the list does not answer, the last one holds.
+        It is not called while the list is unavailable.
     """
     instances = platform.make_instance_list(
         address=settings.platform.instance_list_address,
@@ -63,7 +63,7 @@
     addresses : dict of str to str
         Mesh address by instance id; changed in place.
     instances : tuple of Instance
-        Changed instances; other kinds are passed over.
+        Changed instances; other kinds are ignored.
     """
     for each in instances:
         if each.kind is not model.InstanceKind.ENTRY:
--- a/chestnuttide/daemon/_main.py
+++ b/chestnuttide/daemon/_main.py
@@ -1,4 +1,4 @@
-"""Command line that both daemons share."""
+"""Command line of both daemons."""
 
 import asyncio
 import collections.abc
@@ -16,8 +16,9 @@
 
 EXIT_OK = 0
 EXIT_SETTINGS = 2
-# Allocations before a young collection, young before a middle one, middle
-# before a full one; Python's own are 700, 10 and 10.
+# Garbage collector thresholds: allocations before a young collection, young
+# before a middle one, middle before a full one. Python's defaults are 700, 10
+# and 10.
 COLLECTOR_THRESHOLDS = (20_000, 20, 100)
 
 Run = collections.abc.Callable[
@@ -26,7 +27,7 @@
 
 
 class _ServeCommand(cleo_command.Command):
-    """Loads the settings and runs the daemon."""
+    """Command that loads the settings and runs the daemon."""
 
     name = "serve"
     description = "Serves until SIGTERM, then stops gracefully."
@@ -55,16 +56,16 @@
         telemetry.configure_logging(
             settings.logging.log_level, settings.instance_id, self._daemon
         )
-        _tune_collector()
+        _configure_collector()
         asyncio.run(self._run(settings))
         return EXIT_OK
 
 
-def _tune_collector() -> None:
-    """Let the garbage collector look through long-lived objects rarely.
+def _configure_collector() -> None:
+    """Make garbage collections of long-lived objects rare.
 
-    With 60,000 running tasks a full collection stops the loop for some
-    100 ms. The daemons' states have next to no reference cycles.
+    With 60,000 running tasks a full collection blocks the event loop for some
+    100 ms. The daemons' states contain almost no reference cycles.
     """
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
--- a/chestnuttide/daemon/_mesh.py
+++ b/chestnuttide/daemon/_mesh.py
@@ -1,4 +1,4 @@
-"""Set-up of the mesh that both daemons share."""
+"""Mesh set-up, config messages and traffic counts of both daemons."""
 
 import json
 import random
@@ -10,7 +10,7 @@
 from chestnuttide import settings as settings_module
 from chestnuttide import telemetry
 
-# Messages of the ownership protocol that travel between schedulers.
+# Messages of the ownership protocol, which schedulers exchange.
 _OWNERSHIP_CLASSES = (
     coordination.PromiseRequest,
     coordination.PromiseReply,
@@ -60,7 +60,7 @@
     Raises
     ------
     errors.ProtocolError
-        If the message holds something that is no patch.
+        If the message contains an invalid patch.
     """
     match message:
         case mesh.Heartbeat():
@@ -95,21 +95,21 @@
 def count_traffic(
     metrics: telemetry.Metrics, traffic: mesh.Traffic, counted: mesh.Traffic
 ) -> None:
-    """Add to the metrics what the mesh carried since the last call.
+    """Add the mesh traffic since the last call to the metrics.
 
     Parameters
     ----------
     metrics : Metrics
         The daemon's metrics.
     traffic : Traffic
-        The mesh's counts.
+        The mesh's current byte counts.
     counted : Traffic
-        The counts at the last call; brought up to date.
+        The byte counts at the last call; updated in place.
     """
-    for direction, total, former in (
+    for direction, total, previous in (
         ("sent", traffic.bytes_sent, counted.bytes_sent),
         ("received", traffic.bytes_received, counted.bytes_received),
     ):
-        metrics.mesh_bytes.add({"direction": direction}, total - former)
+        metrics.mesh_bytes.add({"direction": direction}, total - previous)
     counted.bytes_sent = traffic.bytes_sent
     counted.bytes_received = traffic.bytes_received
--- a/chestnuttide/daemon/_metrics_server.py
+++ b/chestnuttide/daemon/_metrics_server.py
@@ -1,4 +1,4 @@
-"""The HTTP port at which a daemon serves its metrics and its health."""
+"""HTTP server for a daemon's metrics and health check."""
 
 import tornado.httpserver
 import tornado.web
@@ -10,21 +10,21 @@
     """Serves the metrics."""
 
     def initialize(self, metrics: telemetry.Metrics) -> None:
-        """Take the daemon's metrics; called by tornado."""
+        """Store the daemon's metrics; called by tornado."""
         self._metrics = metrics
 
     def get(self) -> None:
-        """Answer in the text format of Prometheus."""
+        """Respond in the Prometheus text format."""
         body, content_type = telemetry.render(self._metrics.registry)
         self.set_header("Content-Type", content_type)
         self.finish(body)
 
 
 class _HealthHandler(tornado.web.RequestHandler):
-    """Tells that the process answers."""
+    """Reports that the process responds."""
 
     def get(self) -> None:
-        """Answer 200."""
+        """Respond with status 200."""
         self.finish({"healthy": True})
 
 
