--- a/chestnuttide/scheduler/_worker_links.py
+++ b/chestnuttide/scheduler/_worker_links.py
@@ -15,13 +15,13 @@
 from chestnuttide import telemetry
 
 # Bounds of the delay before an unresponsive worker is polled again.
-SYNC_RETRY_S = 0.2
-SYNC_RETRY_LIMIT_S = 2.0
+POLL_RETRY_S = 0.2
+POLL_RETRY_LIMIT_S = 2.0
 # Interval of checks whether this instance may act for the shard again.
 NOT_OWNER_DELAY_S = 0.05
 # One poll in this many requests all reports even if nothing has changed,
 # because they carry resource usage. Reports of 24 tasks take some 4 KB.
-FULL_SYNC_EVERY = 5
+FULL_REPORT_POLLS = 5
 
 LOG = telemetry.make_logger("pool")
 
@@ -126,10 +126,10 @@
 ) -> None:
     """Poll the worker and renew its leases until the shard is released."""
     after = 0
-    failures = 0
+    failed_polls = 0
     poll_count = 0
     rng = random.Random()
-    sync_s = shard.daemon.settings.coordination.worker_sync_s
+    poll_s = shard.daemon.settings.coordination.worker_sync_s
     # The first poll returns at once, since its reply lists the running tasks.
     wait_s = 0.0
     while not shard.released:
@@ -151,11 +151,11 @@
                 acknowledged,
                 wait_s,
                 after,
-                "" if poll_count % FULL_SYNC_EVERY == 0 else link.digest,
+                "" if poll_count % FULL_REPORT_POLLS == 0 else link.digest,
             )
         except (errors.PlatformError, errors.DeposedError) as error:
             link.acknowledged = acknowledged + link.acknowledged
-            failures += 1
+            failed_polls += 1
             wait_s = 0.0
             poll_count = 0
             received = getattr(error, "sent", False)
@@ -168,19 +168,19 @@
             )
             await asyncio.sleep(
                 queueing.delay_s(
-                    failures,
+                    failed_polls,
                     rng,
-                    base_s=SYNC_RETRY_S,
-                    limit_s=SYNC_RETRY_LIMIT_S,
+                    base_s=POLL_RETRY_S,
+                    limit_s=POLL_RETRY_LIMIT_S,
                 )
             )
             continue
-        failures = 0
+        failed_polls = 0
         poll_count += 1
         if result.reports is not None:
             link.reports = result.reports
         link.digest = result.digest
-        wait_s = sync_s
+        wait_s = poll_s
         after = result.sequence
         shard.feed(
             jobs.SyncReport(
