--- a/chestnuttide/platform/tests/test_instance_list_client.py
+++ b/chestnuttide/platform/tests/test_instance_list_client.py
@@ -48,13 +48,13 @@
 # Each case: successive changes to the list, the arguments of the call, and the
 # instance ids and revision that it must return.
 _CALLS = [
-    pytest.param([], (0, ""), [], 0, id="empty_list"),
+    pytest.param([], (0, ""), [], 0, id="empty_list_fails"),
     pytest.param(
         [[_instance_fields("a"), _instance_fields("b")]],
         (0, ""),
         ["a", "b"],
         2,
-        id="all_instances",
+        id="instance_missing_from_full_list",
     ),
     pytest.param(
         [
@@ -64,28 +64,28 @@
         (2, ""),
         ["a"],
         3,
-        id="changes_after_revision",
+        id="change_after_revision_missing",
     ),
     pytest.param(
         [[_instance_fields("a")], [_instance_fields("a")]],
         (1, ""),
         [],
         1,
-        id="unchanged_instance_not_listed",
+        id="unchanged_instance_listed_as_change",
     ),
     pytest.param(
         [[_instance_fields("a"), _instance_fields("w", kind="worker")]],
         (0, "worker"),
         ["w"],
         2,
-        id="filter_by_kind",
+        id="kind_filter_ignored",
     ),
     pytest.param(
         [[_instance_fields("a")]],
         (9, ""),
         ["a"],
         1,
-        id="restarted_list_returns_all",
+        id="restarted_list_hides_all",
     ),
 ]
 
@@ -151,10 +151,10 @@
 @pytest.mark.parametrize(
     "switches",
     [
-        pytest.param({"down": True}, id="refused_call"),
-        pytest.param({"silent": True}, id="unanswered_call"),
-        pytest.param({"drop_answers": 9}, id="lost_answer"),
-        pytest.param({"slow_s": 1.0}, id="slow_answer"),
+        pytest.param({"down": True}, id="refused_call_read_as_empty_list"),
+        pytest.param({"silent": True}, id="unanswered_call_blocks_forever"),
+        pytest.param({"drop_answers": 9}, id="lost_answer_blocks_forever"),
+        pytest.param({"slow_s": 1.0}, id="slow_answer_blocks_caller"),
     ],
 )
 def test_faults_raise_platform_error(switches: dict[str, typing.Any]) -> None:
--- a/chestnuttide/platform/tests/test_store.py
+++ b/chestnuttide/platform/tests/test_store.py
@@ -89,7 +89,7 @@
             ("write", ("k", b"2", 0, "x", 0), _Conflict),
             ("get", ("k",), _entry("k", b"1", 1)),
         ],
-        id="second_create_conflicts",
+        id="second_create_overwrites",
     ),
     pytest.param(
         [
@@ -99,14 +99,14 @@
             ("write", ("k", b"3", 7, "w", 0), _Conflict),
             ("get", ("k",), _entry("k", b"2", 2)),
         ],
-        id="write_at_other_revision_conflicts",
+        id="write_at_other_revision_succeeds",
     ),
     pytest.param(
         [
             ("write", ("k", b"1", 5, "w", 0), _Conflict),
             ("get", ("k",), None),
         ],
-        id="update_of_absent_key_conflicts",
+        id="update_creates_absent_key",
     ),
     pytest.param(
         [
@@ -115,7 +115,7 @@
             ("write", ("a", b"", 1, "w", 0), 3),
             ("get", ("a",), _entry("a", b"", 3)),
         ],
-        id="store_wide_revision_and_empty_value",
+        id="revision_is_per_key_or_empty_value_lost",
     ),
     pytest.param(
         [
@@ -130,7 +130,7 @@
             ),
             ("list_range", ("z",), []),
         ],
-        id="range_is_sorted_and_within_prefix",
+        id="range_unsorted_or_beyond_prefix",
     ),
     pytest.param(
         [
@@ -141,7 +141,7 @@
             ("get", ("k",), None),
             ("write", ("k", b"2", 0, "w", 0), 3),
         ],
-        id="delete_checks_revision",
+        id="delete_ignores_revision",
     ),
     pytest.param(
         [
@@ -156,7 +156,7 @@
             ("renew_lease", (1,), _Expired),
             ("write", ("m", b"1", 0, "w", 1), _Expired),
         ],
-        id="lease_expires_unless_renewed",
+        id="lease_outlives_its_ttl_or_ignores_renewal",
     ),
     pytest.param(
         [
@@ -166,7 +166,7 @@
             ("advance", 3.0, None),
             ("get", ("m",), _entry("m", b"2", 2)),
         ],
-        id="detached_key_outlives_old_lease",
+        id="detached_key_deleted_with_old_lease",
     ),
     pytest.param(
         [
@@ -180,7 +180,7 @@
             ("get", ("m",), None),
             ("revoke_lease", (2,), None),
         ],
-        id="key_follows_its_last_lease",
+        id="moved_key_deleted_with_old_lease",
     ),
     pytest.param(
         [
@@ -198,7 +198,7 @@
             ),
             ("watch", ("p/", 5, 0.0), _changes(5)),
         ],
-        id="watch_returns_changes_and_deletions",
+        id="watch_misses_change_or_deletion",
     ),
     pytest.param(
         [
@@ -207,11 +207,11 @@
             ("advance", 1.0, None),
             ("watch", ("m/", 1, 0.0), _changes(2, _entry("m/1", None, 2))),
         ],
-        id="watch_returns_keys_of_expired_lease",
+        id="watch_misses_expired_lease",
     ),
     pytest.param(
         [("write", ("k", bytes(1_000_000), 0, "w", 0), 1)],
-        id="largest_value_accepted",
+        id="largest_value_rejected",
     ),
 ]
 
@@ -243,46 +243,56 @@
 # A write under faults: the injected faults, the error that the client must
 # raise, and whether the write must have taken effect.
 _FAULTS = [
-    pytest.param({"down": True}, _Unavailable, False, id="down"),
     pytest.param(
-        {"drop_answers": 1}, _Unavailable, True, id="lost_answer_after_effect"
+        {"down": True},
+        _Unavailable,
+        False,
+        id="write_during_outage_takes_effect",
+    ),
+    pytest.param(
+        {"drop_answers": 1},
+        _Unavailable,
+        True,
+        id="write_with_lost_answer_has_no_effect",
     ),
     pytest.param(
         {"drop_answers": 0.999999},
         _Unavailable,
         True,
-        id="lost_share_of_answers",
+        id="share_of_answers_not_lost",
     ),
     pytest.param(
         {"down": True, "for_prefix": "other/"},
         None,
         True,
-        id="fault_for_other_prefix",
+        id="fault_affects_other_prefix",
     ),
     pytest.param(
         {"down": True, "for_prefix": "k"},
         _Unavailable,
         False,
-        id="fault_for_same_prefix",
+        id="fault_misses_its_prefix",
     ),
     pytest.param(
         {"down": True, "for_client": "i2"},
         None,
         True,
-        id="partition_of_other_client",
+        id="partition_affects_other_client",
     ),
     pytest.param(
         {"down": True, "for_client": ["i1", "i2"]},
         _Unavailable,
         False,
-        id="partition_of_same_client",
+        id="partition_misses_its_client",
+    ),
+    pytest.param(
+        {"slow_s": 0.05}, None, True, id="slow_store_within_timeout_fails"
     ),
-    pytest.param({"slow_s": 0.05}, None, True, id="slow_store_within_timeout"),
     pytest.param(
         {"drop_answers": 1, "drop_kinds": ["get"]},
         None,
         True,
-        id="lost_answer_for_other_kind",
+        id="lost_answer_affects_other_kind",
     ),
 ]
 
@@ -320,13 +330,13 @@
 @pytest.mark.parametrize(
     ("action", "changed"),
     [
-        pytest.param("write", ("m/1", b"1"), id="write_wakes_watch"),
-        pytest.param("expire", ("m/0", None), id="lease_expiry_wakes_watch"),
-        pytest.param("other", None, id="other_prefix_keeps_watch_waiting"),
-        pytest.param("down", _Unavailable, id="outage_ends_watch"),
+        pytest.param("write", ("m/1", b"1"), id="write_does_not_wake_watch"),
         pytest.param(
-            "silent", TimeoutError, id="partition_ends_watch_by_timeout"
+            "expire", ("m/0", None), id="lease_expiry_does_not_wake_watch"
         ),
+        pytest.param("other", None, id="other_prefix_ends_watch"),
+        pytest.param("down", _Unavailable, id="outage_leaves_watch_waiting"),
+        pytest.param("silent", TimeoutError, id="partition_ends_watch_early"),
     ],
 )
 def test_waiting_watch(
@@ -436,9 +446,9 @@
 @pytest.mark.parametrize(
     ("body", "status"),
     [
-        pytest.param(b"\xff", 400, id="not_cbor"),
-        pytest.param(b"\x01", 400, id="not_a_map"),
-        pytest.param(b"\xa0", 400, id="missing_field"),
+        pytest.param(b"\xff", 400, id="invalid_cbor_crashes_store"),
+        pytest.param(b"\x01", 400, id="non_map_crashes_store"),
+        pytest.param(b"\xa0", 400, id="missing_field_crashes_store"),
     ],
 )
 def test_malformed_call_is_rejected(body: bytes, status: int) -> None:
--- a/chestnuttide/platform/tests/test_target_client.py
+++ b/chestnuttide/platform/tests/test_target_client.py
@@ -132,44 +132,51 @@
 # request ids that the server must have read.
 _SCRIPTS = [
     pytest.param(
-        [["close_after_read"]], [True], ["a"], id="close_after_first_request"
+        [["close_after_read"]], [True], ["a"], id="first_request_repeated"
     ),
     pytest.param(
         [[_RESPONSE, "close_after_read"], [_RESPONSE]],
         [b"done", True],
         ["a", "b"],
-        id="close_after_request_on_reused_connection",
+        id="request_on_reused_connection_repeated",
     ),
     pytest.param(
         [[_RESPONSE, "close_unread"], [_RESPONSE]],
         [b"done", True],
         ["a"],
-        id="reset_of_reused_connection",
+        id="request_on_reset_reused_connection_repeated",
     ),
     pytest.param(
         [["close_unread"], [_RESPONSE]],
         [True],
         [],
-        id="reset_of_new_connection",
+        id="request_on_reset_connection_reported_unsent",
     ),
     pytest.param(
         [[_RESPONSE], [_RESPONSE]],
         [b"done", b"done"],
         ["a", "b"],
-        id="idle_connection_closed",
+        id="closed_idle_connection_fails_request",
     ),
-    pytest.param([[_TRUNCATED]], [True], ["a"], id="truncated_response"),
     pytest.param(
-        [[_TRUNCATED_CHUNKED]], [True], ["a"], id="truncated_chunked_response"
+        [[_TRUNCATED]], [True], ["a"], id="truncated_response_accepted"
     ),
-    pytest.param([["hang"]], [True], ["a"], id="timeout"),
+    pytest.param(
+        [[_TRUNCATED_CHUNKED]],
+        [True],
+        ["a"],
+        id="truncated_chunked_response_accepted",
+    ),
+    pytest.param([["hang"]], [True], ["a"], id="timeout_reported_as_unsent"),
     pytest.param(
         [[_LEAVING], [_RESPONSE]],
         [b"", b"done"],
         ["a", "b"],
-        id="request_after_leaving_response",
+        id="leaving_response_breaks_next_request",
+    ),
+    pytest.param(
+        [[b"no http at all"]], [True], ["a"], id="invalid_response_accepted"
     ),
-    pytest.param([[b"no http at all"]], [True], ["a"], id="invalid_response"),
 ]
 
 
@@ -222,7 +229,7 @@
 
 
 def test_refused_connection_reports_unsent() -> None:
-    """Requests to a dead target must be reported unsent to be retried."""
+    """Guards against a refused request that cannot be retried elsewhere."""
 
     async def scenario() -> None:
         checks: list[bool] = []
@@ -277,10 +284,10 @@
 @pytest.mark.parametrize(
     "request_id",
     [
-        pytest.param("a b%20", id="space_and_percent"),
-        pytest.param("a\r\nX-Epoch: 9", id="line_break"),
-        pytest.param("Ω/😀", id="characters_outside_latin_1"),
-        pytest.param(" a ", id="outer_spaces"),
+        pytest.param("a b%20", id="percent_decoded_twice"),
+        pytest.param("a\r\nX-Epoch: 9", id="line_break_adds_header"),
+        pytest.param("Ω/😀", id="id_outside_latin_1_rejected"),
+        pytest.param(" a ", id="outer_spaces_stripped"),
     ],
 )
 def test_request_id_header(request_id: str) -> None:
@@ -425,8 +432,8 @@
 @pytest.mark.parametrize(
     ("path", "result"),
     [
-        pytest.param(runner.STATUS_PATH, 2, id="busy_slots"),
-        pytest.param("/v1/none", None, id="error_status"),
+        pytest.param(runner.STATUS_PATH, 2, id="busy_slots_miscounted"),
+        pytest.param("/v1/none", None, id="error_status_read_as_slots"),
     ],
 )
 def test_busy_slots(path: str, result: int | None) -> None:
--- a/chestnuttide/platform/tests/test_worker_agent_client.py
+++ b/chestnuttide/platform/tests/test_worker_agent_client.py
@@ -102,28 +102,28 @@
             {"drop_answers": 1},
             errors.PlatformError,
             True,
-            id="lost_answer_after_start",
+            id="start_with_lost_answer_has_no_effect",
         ),
         pytest.param(
             {"refuse": True},
             errors.PlatformError,
             False,
-            id="refused_start",
+            id="refused_start_takes_effect",
         ),
         pytest.param(
             {"partition": True},
             errors.PlatformError,
             False,
-            id="start_in_partition",
+            id="start_in_partition_takes_effect",
         ),
         pytest.param(
-            {"delay_s": 0.05}, None, True, id="slow_start_within_timeout"
+            {"delay_s": 0.05}, None, True, id="slow_start_within_timeout_fails"
         ),
         pytest.param(
             {"drop_answers": 1, "drop_kinds": ["stop"]},
             None,
             True,
-            id="lost_answer_for_other_kind",
+            id="lost_answer_affects_other_kind",
         ),
     ],
 )
@@ -218,9 +218,11 @@
 @pytest.mark.parametrize(
     ("action", "limits"),
     [
-        pytest.param("complete", (0.1, 0.35), id="completion_wakes_sync"),
-        pytest.param("none", (0.6, 0.85), id="sync_waits_without_event"),
-        pytest.param("depose", (0.1, 0.35), id="new_epoch_ends_old_sync"),
+        pytest.param(
+            "complete", (0.1, 0.35), id="completion_does_not_wake_sync"
+        ),
+        pytest.param("none", (0.6, 0.85), id="sync_ends_without_event"),
+        pytest.param("depose", (0.1, 0.35), id="old_sync_survives_new_epoch"),
     ],
 )
 def test_waiting_sync(action: str, limits: tuple[float, float]) -> None:
@@ -266,7 +268,7 @@
 
 
 def test_partition_leaves_sync_waiting() -> None:
-    """Unlike a crash, a partition does not end calls immediately."""
+    """Guards against a partition that ends calls at once, like a crash."""
 
     async def scenario() -> None:
         async with _serve_agent() as (endpoint, address, agent):
--- a/chestnuttide/settings/tests/test_settings.py
+++ b/chestnuttide/settings/tests/test_settings.py
@@ -32,8 +32,8 @@
 @pytest.mark.parametrize(
     ("name", "data_centre"),
     [
-        pytest.param("karoo", "beaufort-west", id="karoo"),
-        pytest.param("bangkok", "bang-na", id="bangkok"),
+        pytest.param("karoo", "beaufort-west", id="karoo_does_not_load"),
+        pytest.param("bangkok", "bang-na", id="bangkok_does_not_load"),
     ],
 )
 def test_load_accepts_example_file(name: str, data_centre: str) -> None:
@@ -62,45 +62,49 @@
             "entry.http_port",
             70_000,
             ["entry.http_port", "70000", ">= 1 and <= 65535"],
-            id="port_out_of_range",
+            id="port_range_not_named",
         ),
         pytest.param(
             "entry.http_port",
             "8080",
             ["entry.http_port", "'8080'", "a whole number >= 1"],
-            id="string_for_number",
+            id="string_accepted_as_number",
         ),
         pytest.param(
             "entry.http_port",
             True,
             ["entry.http_port", "True", "a whole number"],
-            id="boolean_for_number",
+            id="boolean_accepted_as_number",
         ),
         pytest.param(
             "mesh.heartbeat_s",
             float("nan"),
             ["mesh.heartbeat_s", "nan", ">= 0.05 and <= 10.0"],
-            id="nan",
+            id="nan_passes_range",
         ),
         pytest.param(
             "mesh.heartbeats",
             1,
             ["mesh.heartbeats", "Did you mean mesh.heartbeat_s?"],
-            id="misspelt_key",
+            id="nearest_key_not_suggested",
+        ),
+        pytest.param(
+            "zzz", 1, ["zzz", "Remove it"], id="unknown_key_accepted"
+        ),
+        pytest.param(
+            "mesh", [], ["mesh", "an object"], id="list_accepted_as_object"
         ),
-        pytest.param("zzz", 1, ["zzz", "Remove it"], id="unknown_key"),
-        pytest.param("mesh", [], ["mesh", "an object"], id="list_for_object"),
         pytest.param(
             "platform",
             {"store_address": "127.0.0.1:1"},
             ["platform.instance_list_address", "is missing", "ip:port"],
-            id="missing_field",
+            id="missing_field_not_named",
         ),
         pytest.param(
             "platform.store_address",
             "store.example:2379",
             ["platform.store_address", "ip:port"],
-            id="host_name_for_ip",
+            id="host_name_accepted_as_ip",
         ),
         pytest.param(
             "advertise_ip",
@@ -112,7 +116,7 @@
             "instance_id",
             "a/b",
             ["instance_id", "'a/b'"],
-            id="slash_in_instance_id",
+            id="slash_in_instance_id_splits_store_key",
         ),
         pytest.param(
             "logging.log_level",
@@ -147,8 +151,12 @@
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
-        pytest.param('{"a": @}', "not JSON after", id="syntax_error"),
-        pytest.param('{"a": 1, "a": 2}', "twice", id="duplicate_key"),
+        pytest.param(
+            '{"a": @}', "not JSON after", id="syntax_error_not_explained"
+        ),
+        pytest.param(
+            '{"a": 1, "a": 2}', "twice", id="last_duplicate_key_wins"
+        ),
         pytest.param("[]", "an object", id="top_level_list"),
     ],
 )
--- a/chestnuttide/telemetry/tests/test_telemetry.py
+++ b/chestnuttide/telemetry/tests/test_telemetry.py
@@ -27,25 +27,25 @@
             ("lease %d renewed", 7),
             {"epoch": 3},
             {"message": "store: lease 7 renewed", "epoch": 3},
-            id="prefix_and_field",
+            id="prefix_or_field_lost",
         ),
         pytest.param(
             ("read",),
             {"extra": {"key": "voters"}},
             {"message": "store: read", "key": "voters"},
-            id="standard_extra",
+            id="standard_extra_lost",
         ),
         pytest.param(
             ("read",),
             {"name": "x", "instance_id": "other"},
             {"name_": "x", "instance_id_": "other", "instance_id": "a-1"},
-            id="reserved_field_names",
+            id="reserved_field_raises_or_replaces",
         ),
         pytest.param(
             ("100% full",),
             {},
             {"message": "store: 100% full", "level": "WARNING"},
-            id="percent_sign_without_arguments",
+            id="percent_sign_without_arguments_raises",
         ),
     ],
 )
@@ -72,12 +72,12 @@
         pytest.param(
             "chestnuttide_refusals_total",
             errors.Reason,
-            id="refusals",
+            id="refusal_reason_without_series",
         ),
         pytest.param(
             "chestnuttide_retries_total",
             errors.RetryReason,
-            id="retries",
+            id="retry_reason_without_series",
         ),
     ],
 )
