--- a/chestnuttide/node/tests/test_cell.py
+++ b/chestnuttide/node/tests/test_cell.py
@@ -43,7 +43,7 @@
             assert await node_cell.submit(other, job_id, steps=2) == 200
         for number, job_id in enumerate(JOBS):
             node = cell.nodes[(number + 2) % 3]
-            await node_cell.until_state(node, job_id, "complete")
+            await node_cell.wait_until_state(node, job_id, "complete")
         starts = [start for each in cell.workers for start in each.starts]
         assert len(starts) == len(JOBS) * 4
         _, queue = await node_cell.fetch(node_cell.url(cell.nodes[0]))
@@ -75,7 +75,7 @@
         await asyncio.sleep(0.5)
         owner.process.send_signal(fault)
         for job_id in JOBS:
-            await node_cell.until_state(others[1], job_id, "complete")
+            await node_cell.wait_until_state(others[1], job_id, "complete")
         if fault == signal.SIGSTOP:
             owner.process.send_signal(signal.SIGCONT)
             await asyncio.sleep(1.0)
@@ -91,18 +91,18 @@
     """Guards against refused jobs that run and an owner that stays idle."""
 
     async def scenario(cell: node_cell.Cell) -> None:
-        cell.store.refusal = 503
+        cell.store.refusal_status = 503
         statuses = [
             await node_cell.submit(cell.nodes[0], job_id)
             for job_id in JOBS[:3]
         ]
         assert statuses == [503] * 3
         await asyncio.sleep(2.0)
-        cell.store.refusal = 0
+        cell.store.refusal_status = 0
         assert await node_cell.submit(cell.nodes[1], JOBS[5]) in (200, 503)
         await asyncio.sleep(0.5)
         assert await node_cell.submit(cell.nodes[1], JOBS[5]) == 200
-        await node_cell.until_state(cell.nodes[2], JOBS[5], "complete")
+        await node_cell.wait_until_state(cell.nodes[2], JOBS[5], "complete")
         started = {
             task.split(".")[0]
             for worker in cell.workers
@@ -120,13 +120,13 @@
 
     async def scenario(cell: node_cell.Cell) -> None:
         for job_id in JOBS:
-            cell.store.lose_answers = 2
+            cell.store.dropped_responses = 2
             status = await node_cell.submit(cell.nodes[0], job_id)
             if status != 200:
                 assert status == 504
                 assert await node_cell.submit(cell.nodes[1], job_id) == 200
         for job_id in JOBS:
-            await node_cell.until_state(cell.nodes[0], job_id, "complete")
+            await node_cell.wait_until_state(cell.nodes[0], job_id, "complete")
 
     run(scenario, tmp_path)
 
@@ -141,13 +141,13 @@
             worker.run_s = 60.0
         node = cell.nodes[0]
         assert await node_cell.submit(node, JOBS[0], count=6) == 200
-        await node_cell.until_state(node, JOBS[0], "running")
+        await node_cell.wait_until_state(node, JOBS[0], "running")
         assert (
             await node_cell.call(node_cell.url(node, JOBS[0]), method="DELETE")
             == 200
         )
-        await node_cell.until_state(cell.nodes[1], JOBS[0], "canceled")
-        await node_cell.until(
+        await node_cell.wait_until_state(cell.nodes[1], JOBS[0], "canceled")
+        await node_cell.wait_until(
             lambda: not any(worker.runs for worker in cell.workers)
         )
         unknown = node_cell.url(node, JOBS[9])
@@ -190,7 +190,7 @@
         )
         assert answer == status
         assert await node_cell.submit(node, JOBS[7]) == 200
-        await node_cell.until_state(node, JOBS[7], "complete")
+        await node_cell.wait_until_state(node, JOBS[7], "complete")
 
     run(scenario, tmp_path)
 
--- a/chestnuttide/node/tests/test_commits.py
+++ b/chestnuttide/node/tests/test_commits.py
@@ -26,7 +26,7 @@
     async def main() -> None:
         store, metrics = cloud.Store(), _metrics.make_metrics()
         address, server = cloud.serve(
-            functools.partial(cloud.answer_store, store)
+            functools.partial(cloud.handle_store_request, store)
         )
         cloud.put(store, _keys.owner(SERVICE), b"me")
         owner = _ownership.Ownership(
@@ -76,10 +76,10 @@
     async def scenario(
         owner: _ownership.Ownership, store: cloud.Store
     ) -> None:
-        store.lose_answers = 1
+        store.dropped_responses = 1
         job = _plan_two_tasks(owner)
         await asyncio.sleep(0.1)
-        assert store.lose_answers == 0
+        assert store.dropped_responses == 0
         for worker in list(owner.pool.workers.values()):
             for run in list(worker.runs.values()):
                 _pool_fixtures.complete_run(owner.pool, run, "done")
@@ -102,7 +102,7 @@
     async def scenario(
         owner: _ownership.Ownership, store: cloud.Store
     ) -> None:
-        store.refusal = 503
+        store.refusal_status = 503
         _plan_two_tasks(owner)
         await asyncio.sleep(0.2)
         for worker in list(owner.pool.workers.values()):
@@ -111,7 +111,7 @@
         await asyncio.sleep(0.2)
         workers = owner.pool.workers.values()
         assert all(worker.stored_completion == 0 for worker in workers)
-        store.refusal = 0
+        store.refusal_status = 0
         async with asyncio.timeout(2.0):
             while not all(
                 worker.stored_completion == worker.last_completion
--- a/chestnuttide/node/tests/test_submission.py
+++ b/chestnuttide/node/tests/test_submission.py
@@ -36,9 +36,12 @@
     """
 
     async def main() -> float:
-        store, metrics = cloud.Store(refusal=-1), _metrics.make_metrics()
+        store, metrics = (
+            cloud.Store(refusal_status=-1),
+            _metrics.make_metrics(),
+        )
         address, server = cloud.serve(
-            functools.partial(cloud.answer_store, store)
+            functools.partial(cloud.handle_store_request, store)
         )
         session = _session.Session(
             settings=None,
--- a/chestnuttide/platform/tests/test_target_client.py
+++ b/chestnuttide/platform/tests/test_target_client.py
@@ -336,7 +336,7 @@
             )
             assert response.status == status
             assert response.content_type == "application/json"
-            assert runner.check_answer(response.body, "a\n1", size) == ""
+            assert runner.check_response(response.body, "a\n1", size) == ""
             assert not response.leaving
 
     asyncio.run(scenario())
@@ -349,7 +349,7 @@
         payload = b'{"size":5,"text":"' + b"x" * 3_000_000 + b'"}'
         async with _serve_runner() as (_endpoint, address, targets):
             body = await _send(targets, address, "a", payload=payload)
-            assert runner.check_answer(body, "a", 5) == ""
+            assert runner.check_response(body, "a", 5) == ""
 
     asyncio.run(scenario())
 
@@ -380,7 +380,7 @@
                 )
             )
             for number, body in enumerate(bodies):
-                assert runner.check_answer(body, f"r{number}", 0) == ""
+                assert runner.check_response(body, f"r{number}", 0) == ""
             assert await targets.busy_slots(address, runner.STATUS_PATH) == 0
             limit = _target_client.MAX_TARGET_CONNECTIONS
             assert endpoint.state.peak_busy == limit
@@ -507,7 +507,7 @@
         for name, result in results.items():
             if isinstance(result, bytes):
                 counts["answered"] += 1
-                assert runner.check_answer(result, name, 50) == ""
+                assert runner.check_response(result, name, 50) == ""
                 assert seen[name] == 1
             elif result:
                 counts["unknown"] += 1
--- a/chestnuttide/platform/tests/test_worker_agent_client.py
+++ b/chestnuttide/platform/tests/test_worker_agent_client.py
@@ -204,12 +204,12 @@
                 "stop": (4, [attempt], False),
                 "throttle": (4, [attempt], 0.1),
             }[call]
-            lease_until = endpoint.state.running[attempt].lease_until
+            lease_expires_s = endpoint.state.running[attempt].lease_expires_s
             with pytest.raises(errors.DeposedError):
                 await getattr(agent, call)(address, *arguments)
             run = endpoint.state.running[attempt]
             assert list(endpoint.state.running) == [attempt]
-            assert (run.share, run.lease_until) == (1.0, lease_until)
+            assert (run.share, run.lease_expires_s) == (1.0, lease_expires_s)
             assert endpoint.state.stale_calls == 1
 
     asyncio.run(scenario())
--- a/demo/_account.py
+++ b/demo/_account.py
@@ -21,13 +21,13 @@
     """
     runners = cell_module.runner_evidence(cell)
     workers = cell_module.worker_evidence(cell)
-    doubled_requests = runner.find_doubled_requests(runners)
+    duplicate_requests = runner.find_duplicate_requests(runners)
     double_runs = worker_agent.find_double_runs(workers)
     overruns = sum(
         each["slot_overruns"] + each["connection_overruns"] for each in runners
     ) + sum(each["overruns"] for each in workers)
     return {
-        "doubled": len(doubled_requests) + len(double_runs),
+        "doubled": len(duplicate_requests) + len(double_runs),
         "overruns": overruns,
         "tasks_placed": sum(len(each["history"]) for each in workers),
         "runs": sum(each["runs"] for each in runners),
--- a/features/_callers.py
+++ b/features/_callers.py
@@ -280,5 +280,7 @@
         state = document["state"]
         known = state if state == "outcome_unknown" else "duplicate_id"
         return _Told(code=known, run_state="unknown")
-    fault = runner.check_answer(response.body, wanted.request_id, wanted.size)
+    fault = runner.check_response(
+        response.body, wanted.request_id, wanted.size
+    )
     return _Told(code="answered", fault=fault)
--- a/features/_requests_steps.py
+++ b/features/_requests_steps.py
@@ -431,7 +431,7 @@
 def never_twice(world: World) -> None:
     wait_for_callers(world)
     evidence = cell_module.runner_evidence(world.cell)
-    assert runner.find_doubled_requests(evidence) == {}
+    assert runner.find_duplicate_requests(evidence) == {}
 
 
 @then("every caller has its whole own answer or a truthful refusal")
--- a/features/test_requests_planned_stop.py
+++ b/features/test_requests_planned_stop.py
@@ -270,7 +270,7 @@
 def caller_has_answer(caller: Caller) -> None:
     head, _, body = caller.got.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200"), head[:200]
-    assert runner.check_answer(body, caller.request_id, caller.size) == ""
+    assert runner.check_response(body, caller.request_id, caller.size) == ""
 
 
 @then("their daemons end with exit code 0")
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -128,9 +128,9 @@
 
 async def make_store_unavailable(testbed: Testbed, rng: random.Random) -> None:
     """Have the store refuse all requests or leave them unanswered."""
-    testbed.cell.store.refusal = rng.choice((503, 429, -1))
+    testbed.cell.store.refusal_status = rng.choice((503, 429, -1))
     await asyncio.sleep(rng.uniform(0.3, 5.0))
-    testbed.cell.store.refusal = 0
+    testbed.cell.store.refusal_status = 0
 
 
 async def lose_answers(testbed: Testbed, rng: random.Random) -> None:
@@ -138,7 +138,7 @@
     testbed.cell.store.commit_delay_s = rng.choice(
         (0.0, rng.uniform(1.0, 4.0))
     )
-    testbed.cell.store.lose_answers = rng.randint(1, 6)
+    testbed.cell.store.dropped_responses = rng.randint(1, 6)
     await asyncio.sleep(1.0)
 
 
@@ -258,5 +258,5 @@
         _restart_if_ended(testbed, node)
     for proxy in [*testbed.worker_proxies, *testbed.store_proxies.values()]:
         _proxy.clear_faults(proxy)
-    testbed.cell.store.refusal = 0
-    testbed.cell.store.lose_answers = 0
+    testbed.cell.store.refusal_status = 0
+    testbed.cell.store.dropped_responses = 0
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -95,8 +95,8 @@
         closers.append(server.close)
         return address
 
-    store_proxy = await serve(cloud.answer_store, store)
-    advisor_proxy = await serve(cloud.answer_advice, advisor)
+    store_proxy = await serve(cloud.handle_store_request, store)
+    advisor_proxy = await serve(cloud.handle_advisor_request, advisor)
     advisor_address = await listen(advisor_proxy)
     cell = node_cell.Cell(store=store, advisor=advisor, workers=workers)
     testbed = _faults.Testbed(
@@ -109,7 +109,7 @@
     )
     for worker in workers:
         _checks.observe_worker(ledger, worker)
-        proxy = await serve(cloud.answer_worker, worker)
+        proxy = await serve(cloud.handle_worker_request, worker)
         testbed.worker_proxies.append(proxy)
         address = await listen(proxy)
         cell.worker_addresses.append(address)
@@ -132,7 +132,7 @@
                 )
             )
         for node in cell.nodes:
-            await node_cell.until_ready(node)
+            await node_cell.wait_until_ready(node)
         yield testbed
     finally:
         for node in cell.nodes:
@@ -168,7 +168,7 @@
     """Wait for all jobs without faults, then check the final state."""
     ledger = testbed.ledger
     for node in testbed.cell.nodes:
-        await node_cell.until_ready(node)
+        await node_cell.wait_until_ready(node)
     await asyncio.sleep(RECONNECT_LIMIT_S + CONFIG_LIMIT_S)
     await _check_config(testbed)
     callers.faults_ended.set()
--- a/standins/cloud/__init__.py
+++ b/standins/cloud/__init__.py
@@ -9,12 +9,12 @@
 Run = _worker.Run
 Store = _store.Store
 Worker = _worker.Worker
-answer_advice = _advisor.answer_advice
-answer_store = _store.answer_store
-answer_worker = _worker.answer_worker
 encode_entry = _worker.encode_entry
 end_due_runs = _worker.end_due_runs
 expire_leases = _store.expire_leases
+handle_advisor_request = _advisor.handle_advisor_request
+handle_store_request = _store.handle_store_request
+handle_worker_request = _worker.handle_worker_request
 put = _store.put
 serve = _http.serve
 
@@ -23,12 +23,12 @@
     "Run",
     "Store",
     "Worker",
-    "answer_advice",
-    "answer_store",
-    "answer_worker",
     "encode_entry",
     "end_due_runs",
     "expire_leases",
+    "handle_advisor_request",
+    "handle_store_request",
+    "handle_worker_request",
     "put",
     "serve",
 ]
--- a/standins/cloud/_advisor.py
+++ b/standins/cloud/_advisor.py
@@ -22,7 +22,7 @@
     calls: int = 0
 
 
-async def answer_advice(
+async def handle_advisor_request(
     advisor: Advisor,
     request: httputil.HTTPServerRequest,
     body: dict[str, object],
--- a/standins/cloud/_store.py
+++ b/standins/cloud/_store.py
@@ -46,10 +46,10 @@
         Revision up to which the history is compacted.
     leases : dict of int to (float, float)
         Expiry and time to live of each lease, in seconds.
-    refusal : int
+    refusal_status : int
         Status returned for every request; 0 for normal service, -1 to leave
         requests unanswered.
-    lose_answers : int
+    dropped_responses : int
         Number of next transactions to apply without a response.
     commit_delay_s : float
         Delay before transactions without a response take effect.
@@ -62,8 +62,8 @@
     history: list[tuple[int, str]] = attrs.field(factory=list)
     compacted_revision: int = 0
     leases: dict[int, tuple[float, float]] = attrs.field(factory=dict)
-    refusal: int = 0
-    lose_answers: int = 0
+    refusal_status: int = 0
+    dropped_responses: int = 0
     commit_delay_s: float = 0.0
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
@@ -128,16 +128,16 @@
     }
 
 
-async def answer_store(
+async def handle_store_request(
     store: Store,
     request: httputil.HTTPServerRequest,
     body: dict[str, object],
 ) -> _http.Answer:
     """Answer a request to the store."""
-    if store.refusal < 0:
+    if store.refusal_status < 0:
         return None
-    if store.refusal:
-        return store.refusal, {}
+    if store.refusal_status:
+        return store.refusal_status, {}
     expire_leases(store)
     query = {
         name: values[0].decode() for name, values in request.arguments.items()
@@ -162,8 +162,8 @@
     if name == "kv-watch":
         return await _watch(store, query)
     if name == "kv-txn":
-        if store.lose_answers:
-            store.lose_answers -= 1
+        if store.dropped_responses:
+            store.dropped_responses -= 1
             await asyncio.sleep(store.commit_delay_s)
             _transact(store, body)
             return None
--- a/standins/cloud/_worker.py
+++ b/standins/cloud/_worker.py
@@ -147,7 +147,7 @@
     return int(_clock_s(worker) * 1000)
 
 
-async def answer_worker(
+async def handle_worker_request(
     worker: Worker,
     request: httputil.HTTPServerRequest,
     body: dict[str, object],
--- a/standins/node_cell.py
+++ b/standins/node_cell.py
@@ -129,10 +129,10 @@
         servers.append(server)
         return address
 
-    store = serve(cloud.answer_store, cell.store)
-    advisor = serve(cloud.answer_advice, cell.advisor)
+    store = serve(cloud.handle_store_request, cell.store)
+    advisor = serve(cloud.handle_advisor_request, cell.advisor)
     for worker in cell.workers:
-        address = serve(cloud.answer_worker, worker)
+        address = serve(cloud.handle_worker_request, worker)
         cell.worker_addresses.append(address)
         entry = cloud.encode_entry(worker, address)
         cloud.put(cell.store, f"servers/{worker.id}", entry)
@@ -147,8 +147,8 @@
                 start_node(folder, f"n{number}", store, advisor, caller_port)
             )
         for node in cell.nodes:
-            await until_ready(node)
-        await until(lambda: f"cell/owners/{SERVICE}" in cell.store.keys)
+            await wait_until_ready(node)
+        await wait_until(lambda: f"cell/owners/{SERVICE}" in cell.store.keys)
         yield cell
     finally:
         for node in cell.nodes:
@@ -210,7 +210,7 @@
         )
 
 
-async def until(
+async def wait_until(
     condition: collections.abc.Callable[[], bool], *, limit_s: float = 15.0
 ) -> None:
     """Wait until a condition holds.
@@ -228,7 +228,7 @@
         await asyncio.sleep(0.02)
 
 
-async def until_ready(node: Node) -> None:
+async def wait_until_ready(node: Node) -> None:
     """Wait until a daemon is ready."""
     deadline_s = time.monotonic() + 15
     while (
@@ -299,7 +299,7 @@
     return await call(url(node, job_id), method="POST", body=make_job(**job))
 
 
-async def until_state(node: Node, job_id: str, state: str) -> None:
+async def wait_until_state(node: Node, job_id: str, state: str) -> None:
     """Wait until a daemon reports a job in the given state."""
     deadline_s = time.monotonic() + 15
     while True:
--- a/standins/runner/__init__.py
+++ b/standins/runner/__init__.py
@@ -6,10 +6,10 @@
 Endpoint = _server.Endpoint
 STATUS_PATH = _server.STATUS_PATH
 State = _state.State
-check_answer = _state.check_answer
+check_response = _state.check_response
 control = _server.control
 evidence = _server.evidence
-find_doubled_requests = _state.find_doubled_requests
+find_duplicate_requests = _state.find_duplicate_requests
 listen = _server.listen
 main = _server.main
 make_endpoint = _server.make_endpoint
@@ -18,10 +18,10 @@
     "Endpoint",
     "STATUS_PATH",
     "State",
-    "check_answer",
+    "check_response",
     "control",
     "evidence",
-    "find_doubled_requests",
+    "find_duplicate_requests",
     "listen",
     "main",
     "make_endpoint",
--- a/standins/runner/_server.py
+++ b/standins/runner/_server.py
@@ -138,7 +138,7 @@
         size = int(payload.get("size", 0))
         self.reply(
             500 if failed else 200,
-            _state.make_answer(state, request_id, attempt, size),
+            _state.make_response(state, request_id, attempt, size),
         )
         if faults.close_idle:
             await asyncio.sleep(_CLOSE_DELAY_S)
--- a/standins/runner/_state.py
+++ b/standins/runner/_state.py
@@ -111,12 +111,12 @@
         state.connection_overruns += 1
 
 
-def make_answer(
+def make_response(
     state: State, request_id: str, attempt: int, size: int
 ) -> bytes:
     """Return a response body with `size` bytes derived from the request id.
 
-    `check_answer` detects a response to another request and an incomplete
+    `check_response` detects a response to another request and an incomplete
     one.
     """
     content = _make_content(request_id, size)
@@ -132,7 +132,7 @@
     ).encode()
 
 
-def check_answer(body: bytes, request_id: str, size: int) -> str:
+def check_response(body: bytes, request_id: str, size: int) -> str:
     """Return the fault of a response, or an empty string if it is intact.
 
     Parameters
@@ -192,7 +192,7 @@
     }
 
 
-def find_doubled_requests(
+def find_duplicate_requests(
     runner_evidence: collections.abc.Iterable[dict[str, typing.Any]],
 ) -> dict[str, int]:
     """Return non-idempotent requests that ran more than once on any runners.
--- a/standins/tests/test_runner.py
+++ b/standins/tests/test_runner.py
@@ -141,7 +141,7 @@
             runner.control(endpoint, {"reset": True})
             await asyncio.sleep(0.05)
             answer = await work("b")
-            assert runner.check_answer(answer.body, "b", 0) == ""
+            assert runner.check_response(answer.body, "b", 0) == ""
 
     asyncio.run(scenario())
 
@@ -179,14 +179,14 @@
                 assert evidence["repeated"] == {"again": 2}
                 assert evidence["doubled"] == {}
                 evidences.append(evidence)
-        assert runner.find_doubled_requests(evidences) == {"once": 2}
+        assert runner.find_duplicate_requests(evidences) == {"once": 2}
 
     asyncio.run(scenario())
 
 
 def _answer(**changes: object) -> bytes:
     state = runner.State(runner_id="runner-1")
-    fields = json.loads(_state.make_answer(state, "a", 1, 20))
+    fields = json.loads(_state.make_response(state, "a", 1, 20))
     return json.dumps({**fields, **changes}).encode()
 
 
@@ -211,4 +211,4 @@
     ],
 )
 def test_check_answer(body: bytes, is_intact: bool) -> None:
-    assert (runner.check_answer(body, "a", 20) == "") == is_intact
+    assert (runner.check_response(body, "a", 20) == "") == is_intact
--- a/standins/worker_agent/_state.py
+++ b/standins/worker_agent/_state.py
@@ -38,7 +38,7 @@
         The start request.
     started_at_s : float
         Start time.
-    lease_until : float
+    lease_expires_s : float
         Expiry of its lease, at which the worker stops it.
     work_s : float
         Run time at full speed in seconds; infinite for a service.
@@ -58,7 +58,7 @@
 
     start: platform.TaskStart
     started_at_s: float
-    lease_until: float
+    lease_expires_s: float
     work_s: float
     fails: bool
     usage_share: float
@@ -130,7 +130,7 @@
     """End attempts whose work is done or whose lease has expired."""
     while True:
         due = [
-            (min(_completion_time(run), run.lease_until), attempt)
+            (min(_completion_time(run), run.lease_expires_s), attempt)
             for attempt, run in state.running.items()
         ]
         due = [item for item in due if item[0] <= now]
@@ -138,7 +138,7 @@
             return
         ended_at_s, attempt = min(due, key=lambda item: item[0])
         run = state.running[attempt]
-        if _completion_time(run) <= run.lease_until:
+        if _completion_time(run) <= run.lease_expires_s:
             ended = (
                 model.TaskState.FAILED
                 if run.fails
@@ -153,7 +153,7 @@
     """Return the next scheduled end of an attempt, or None."""
     due = min(
         (
-            min(_completion_time(run), run.lease_until)
+            min(_completion_time(run), run.lease_expires_s)
             for run in state.running.values()
         ),
         default=math.inf,
@@ -188,7 +188,7 @@
     """Renew all leases and drop acknowledged completions."""
     advance(state, now)
     for run in state.running.values():
-        run.lease_until = now + call.lease_s
+        run.lease_expires_s = now + call.lease_s
     for attempt in call.acknowledged:
         state.completions.pop(attempt, None)
 
@@ -327,7 +327,7 @@
     state.running[attempt] = RunningAttempt(
         start=task,
         started_at_s=now,
-        lease_until=now + call.lease_s,
+        lease_expires_s=now + call.lease_s,
         work_s=work_s,
         fails=fails,
         usage_share=usage_share,
