--- a/chestnuttide/jobs/_gangs.py
+++ b/chestnuttide/jobs/_gangs.py
@@ -54,14 +54,14 @@
         spread=_state.class_config(state, job).spread,
         excluded=excluded,
         now=now,
-        use_hold=placement.held_key(state.cell) == job.job_id,
+        use_reservation=placement.reserved_gang_key(state.cell) == job.job_id,
     )
     if worker_ids is None:
         _reserve(state, record, excluded, now)
         return 0
     queueing.cancel(state.queue, job.job_id)
-    if placement.held_key(state.cell) == job.job_id:
-        placement.release_hold(state.cell)
+    if placement.reserved_gang_key(state.cell) == job.job_id:
+        placement.release_gang_reservation(state.cell)
     record.gang_serial += 1
     for worker_id in worker_ids:
         index = _backlog.pop_task(record)
@@ -120,7 +120,7 @@
 ) -> None:
     """Reserve workers for a gang, unless another gang has a reservation."""
     if (
-        placement.held_key(state.cell) is not None
+        placement.reserved_gang_key(state.cell) is not None
         or now < state.next_gang_plan_at
         or now < record.next_reservation_at
     ):
@@ -137,7 +137,9 @@
     )
     if plan is None:
         return
-    placement.hold(state.cell, plan=plan, key=record.job.job_id, now=now)
+    placement.reserve_for_gang(
+        state.cell, plan=plan, key=record.job.job_id, now=now
+    )
     # If this reservation does not help, other gangs may reserve before this
     # gang does so again.
     record.next_reservation_at = now + 2 * limit_s
--- a/chestnuttide/jobs/_outcomes.py
+++ b/chestnuttide/jobs/_outcomes.py
@@ -58,8 +58,8 @@
     record.numbers = {}
     record.failed_on = {}
     queueing.cancel(state.queue, job_id)
-    if placement.held_key(state.cell) == job_id:
-        placement.release_hold(state.cell)
+    if placement.reserved_gang_key(state.cell) == job_id:
+        placement.release_gang_reservation(state.cell)
         _state.mark_capacity_changed(state)
     if record.live:
         state.closing.append(job_id)
--- a/chestnuttide/jobs/_preemption.py
+++ b/chestnuttide/jobs/_preemption.py
@@ -116,7 +116,7 @@
     if now < state.next_relief_at:
         return
     state.next_relief_at = now + RELIEF_INTERVAL_S
-    for relief in placement.overcommitted(state.cell):
+    for relief in placement.relief_actions(state.cell):
         attempt_record = state.attempts.get(relief.attempt)
         if (
             attempt_record is None
--- a/chestnuttide/placement/__init__.py
+++ b/chestnuttide/placement/__init__.py
@@ -31,22 +31,22 @@
 count_task = _scoring.count_task
 free_of = _cells.free_of
 gang_capacity = _scoring.gang_capacity
-held_key = _gang_reservation.held_key
-hold = _gang_reservation.hold
 is_ejected = _health.is_ejected
 largest_worker_fits = _scoring.largest_worker_fits
 make_cell = _cells.make_cell
 mark_throttled = _reclaim.mark_throttled
-overcommitted = _reclaim.overcommitted
 plan_gang_reservation = _gangs.plan_gang_reservation
 reclaimable = _reclaim.reclaimable
 record_outcome = _health.record_outcome
 record_usage = _reclaim.record_usage
 release = _cells.release
-release_hold = _gang_reservation.release_hold
+release_gang_reservation = _gang_reservation.release_gang_reservation
+relief_actions = _reclaim.relief_actions
 remove_worker = _cells.remove_worker
 reservation_of = _cells.reservation_of
 reserve = _cells.reserve
+reserve_for_gang = _gang_reservation.reserve_for_gang
+reserved_gang_key = _gang_reservation.reserved_gang_key
 reserved_total = _cells.reserved_total
 set_limits = _cells.set_limits
 upsert_worker = _cells.upsert_worker
@@ -75,22 +75,22 @@
     "count_task",
     "free_of",
     "gang_capacity",
-    "held_key",
-    "hold",
     "is_ejected",
     "largest_worker_fits",
     "make_cell",
     "mark_throttled",
-    "overcommitted",
     "plan_gang_reservation",
     "reclaimable",
     "record_outcome",
     "record_usage",
     "release",
-    "release_hold",
+    "release_gang_reservation",
+    "relief_actions",
     "remove_worker",
     "reservation_of",
     "reserve",
+    "reserve_for_gang",
+    "reserved_gang_key",
     "reserved_total",
     "set_limits",
     "upsert_worker",
--- a/chestnuttide/placement/_gang_reservation.py
+++ b/chestnuttide/placement/_gang_reservation.py
@@ -6,7 +6,7 @@
 from chestnuttide.placement import _state
 
 
-def hold(
+def reserve_for_gang(
     cell: _state.Cell, *, plan: _state.GangPlan, key: str, now: float
 ) -> None:
     """Reserve the workers of a plan for one gang.
@@ -33,13 +33,13 @@
             message=f"Workers are reserved for gang {cell.reserved_gang}.",
             remedy="Wait until that reservation is released or expires.",
         )
-    release_hold(cell)
+    release_gang_reservation(cell)
     cell.gang_reservation = plan
     cell.reserved_gang = key
     _set_reserved(cell, plan, reserved=True)
 
 
-def release_hold(cell: _state.Cell) -> str | None:
+def release_gang_reservation(cell: _state.Cell) -> str | None:
     """End the gang reservation; returns the key of its gang, or None."""
     if cell.gang_reservation is None:
         return None
@@ -51,7 +51,7 @@
     return key
 
 
-def held_key(cell: _state.Cell) -> str | None:
+def reserved_gang_key(cell: _state.Cell) -> str | None:
     """Return the key of the gang that workers are reserved for, or None."""
     return None if cell.gang_reservation is None else cell.reserved_gang
 
@@ -62,7 +62,7 @@
         cell.gang_reservation is not None
         and now >= cell.gang_reservation.expires_at
     ):
-        release_hold(cell)
+        release_gang_reservation(cell)
 
 
 def may_backfill(
--- a/chestnuttide/placement/_gangs.py
+++ b/chestnuttide/placement/_gangs.py
@@ -32,7 +32,7 @@
     spread: bool,
     excluded: frozenset[str] | set[str],
     now: float,
-    use_hold: bool = False,
+    use_reservation: bool = False,
 ) -> list[str] | None:
     """Return one worker per task of a gang, or None if not all fit now.
 
@@ -51,7 +51,7 @@
         Workers not to be considered.
     now : float
         Time in seconds.
-    use_hold : bool
+    use_reservation : bool
         Whether workers are reserved for this gang, so that it may use them.
 
     Returns
@@ -63,7 +63,7 @@
     _gang_reservation.expire(cell, now)
     indexes = (
         (cell.reserved_index, cell.open_index)
-        if use_hold
+        if use_reservation
         else (cell.open_index,)
     )
     candidates: list[_WorkerSlots] = []
--- a/chestnuttide/placement/_reclaim.py
+++ b/chestnuttide/placement/_reclaim.py
@@ -275,7 +275,7 @@
         reservation.throttle_samples = 0 if throttled else -1
 
 
-def overcommitted(cell: _state.Cell) -> list[Relief]:
+def relief_actions(cell: _state.Cell) -> list[Relief]:
     """Return the attempts to throttle or evict, in the order to act on them.
 
     They run on workers whose reported usage exceeds the capacity. Work on
--- a/chestnuttide/placement/tests/test_gangs.py
+++ b/chestnuttide/placement/tests/test_gangs.py
@@ -110,7 +110,7 @@
     plan = placement.plan_gang_reservation(
         cell, need=_A(2_000), count=2, now=0.0, limit_s=30.0
     )
-    placement.hold(cell, plan=plan, key="gang", now=0.0)
+    placement.reserve_for_gang(cell, plan=plan, key="gang", now=0.0)
     assert (
         builders.choose(cell, _A(1_000), now=now, expected_run_s=run_s)
         == expected
@@ -123,15 +123,17 @@
     cell = _busy_cell()
     options = {"need": _A(1_000, 1_000), "count": 1, "now": 0.0}
     plan = placement.plan_gang_reservation(cell, limit_s=30.0, **options)
-    placement.hold(cell, plan=plan, key="gang", now=0.0)
+    placement.reserve_for_gang(cell, plan=plan, key="gang", now=0.0)
     with pytest.raises(placement.GangReservationConflictError):
-        placement.hold(cell, plan=plan, key="other", now=0.0)
-    placement.hold(cell, plan=plan, key="gang", now=0.0)
+        placement.reserve_for_gang(cell, plan=plan, key="other", now=0.0)
+    placement.reserve_for_gang(cell, plan=plan, key="gang", now=0.0)
     placement.release(cell, builders.attempt("a1x"))
     options |= {"spread": False, "excluded": frozenset()}
     assert placement.choose_gang(cell, **options) is None
-    assert placement.choose_gang(cell, use_hold=True, **options) == ["a1x"]
+    assert placement.choose_gang(cell, use_reservation=True, **options) == [
+        "a1x"
+    ]
     assert builders.choose(cell, _A(1_000)) is None
-    assert placement.release_hold(cell) == "gang"
-    assert placement.held_key(cell) is None
+    assert placement.release_gang_reservation(cell) == "gang"
+    assert placement.reserved_gang_key(cell) is None
     assert builders.choose(cell, _A(1_000)) == "a1x"
--- a/chestnuttide/placement/tests/test_preemption.py
+++ b/chestnuttide/placement/tests/test_preemption.py
@@ -146,7 +146,7 @@
         plan = placement.plan_gang_reservation(
             cell, need=_SIZE, count=1, now=0.0, limit_s=9.0
         )
-        placement.hold(cell, plan=plan, key="gang", now=0.0)
+        placement.reserve_for_gang(cell, plan=plan, key="gang", now=0.0)
     assert (
         placement.choose_victims(
             cell, need=_A(1), priority=1, now=0.0, **options
--- a/chestnuttide/placement/tests/test_properties.py
+++ b/chestnuttide/placement/tests/test_properties.py
@@ -292,7 +292,7 @@
     """Throttle or evict attempts until usage is within capacity again."""
     cell = simulation.cell
     for _round in range(3):
-        for relief in placement.overcommitted(cell):
+        for relief in placement.relief_actions(cell):
             reservation = placement.reservation_of(cell, relief.attempt)
             assert reservation.worker_id == relief.worker_id
             assert relief.worker_id in cell.overcommitted
@@ -327,7 +327,7 @@
     cell = simulation.cell
     need = _draw_need(simulation)
     count = simulation.rng.randrange(1, 9)
-    use_hold = simulation.rng.random() < 0.5
+    use_reservation = simulation.rng.random() < 0.5
     before = placement.reserved_total(cell)
     chosen = placement.choose_gang(
         cell,
@@ -336,7 +336,7 @@
         spread=simulation.rng.random() < 0.5,
         excluded=frozenset(),
         now=simulation.now,
-        use_hold=use_hold,
+        use_reservation=use_reservation,
     )
     assert placement.reserved_total(cell) == before
     free_slots = {
@@ -345,7 +345,7 @@
         else checks.fit_count_on(worker, need, checks.free_of(worker))
         for worker in cell.workers.values()
         if checks.fits_on(worker, need, gang=True)
-        and (use_hold or not worker.reserved_for_gang)
+        and (use_reservation or not worker.reserved_for_gang)
     }
     if chosen is None:
         assert sum(free_slots.values()) < count
@@ -380,11 +380,13 @@
         assert (plan.starts_at if plan else None) == earliest
     if plan is not None and cell.gang_reservation is None:
         assert len(plan.worker_ids) == count
-        placement.hold(cell, plan=plan, key="gang", now=simulation.now)
+        placement.reserve_for_gang(
+            cell, plan=plan, key="gang", now=simulation.now
+        )
 
 
 def _release_gang_reservation(simulation: _Simulation) -> None:
-    placement.release_hold(simulation.cell)
+    placement.release_gang_reservation(simulation.cell)
     assert not any(
         worker.reserved_for_gang for worker in simulation.cell.workers.values()
     )
--- a/chestnuttide/placement/tests/test_reclaim.py
+++ b/chestnuttide/placement/tests/test_reclaim.py
@@ -187,7 +187,7 @@
     if throttled:
         placement.mark_throttled(cell, reclaimed["second"], throttled=True)
         # Usage reported before the throttling is ignored.
-        assert placement.overcommitted(cell) == []
+        assert placement.relief_actions(cell) == []
         _report_usage(
             cell,
             reclaimed["second"],
@@ -196,5 +196,5 @@
         )
     assert [
         (relief.attempt.job_id, relief.action.value)
-        for relief in placement.overcommitted(cell)
+        for relief in placement.relief_actions(cell)
     ] == expected
