--- a/chestnuttide/jobs/_backlog.py
+++ b/chestnuttide/jobs/_backlog.py
@@ -25,13 +25,13 @@
 
 def expected_run(
     state: _state.PoolState, job: model.Job
-) -> queueing.Expectation:
+) -> queueing.RunTimeEstimate:
     """Return the expected run time of a task; infinity for services."""
     if job.kind is model.JobKind.SERVICE:
-        return queueing.Expectation(
+        return queueing.RunTimeEstimate(
             median_s=math.inf, p90_s=math.inf, learned=False
         )
-    return queueing.expect(
+    return queueing.estimate_run_time(
         state.estimates, job.workload_class, job.declared_run_s
     )
 
--- a/chestnuttide/jobs/_outcomes.py
+++ b/chestnuttide/jobs/_outcomes.py
@@ -278,7 +278,7 @@
         state.waiting_tasks -= 1
     job = record.job
     if report.run_s > 0:
-        queueing.observe(
+        queueing.record_run_time(
             state.estimates,
             job.workload_class,
             report.run_s,
--- a/chestnuttide/jobs/tests/_simulation.py
+++ b/chestnuttide/jobs/tests/_simulation.py
@@ -293,7 +293,7 @@
             reservation = placement.reservation_of(state.cell, attempt)
             assert reservation is not None
             assert reservation.need == record.need
-    assert team_usage == state.quota.held
+    assert team_usage == state.quota.used
 
 
 def _tick(simulation: Simulation, owner: Owner) -> None:
--- a/chestnuttide/node/_commands.py
+++ b/chestnuttide/node/_commands.py
@@ -189,7 +189,7 @@
     run: workloads.Run,
 ) -> None:
     percent = run.speed_percent
-    run.confirmed_speed_percent = percent
+    run.sent_speed_percent = percent
     try:
         reply = await platform.throttle_run(
             owner.workers_http,
@@ -203,7 +203,7 @@
         )
     except errors.PlatformError as error:
         # Resent after the next poll.
-        run.confirmed_speed_percent = -1
+        run.sent_speed_percent = -1
         LOG.info(
             "Throttle command was not answered.",
             task=run.task,
@@ -218,5 +218,5 @@
         status=reply.status,
     )
     if reply.status != 200:
-        run.confirmed_speed_percent = -1
+        run.sent_speed_percent = -1
         handle_rejection(owner, worker, reply, "pace")
--- a/chestnuttide/queueing/_estimates.py
+++ b/chestnuttide/queueing/_estimates.py
@@ -95,7 +95,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class Expectation:
+class RunTimeEstimate:
     """Expected run time of a task.
 
     Attributes
@@ -111,7 +111,7 @@
     learned: bool
 
 
-def observe(
+def record_run_time(
     estimates: Estimates,
     workload_class: str,
     run_s: float,
@@ -140,9 +140,9 @@
         (learned.ratio,) = quantiles(learned.ratios, (0.5,))
 
 
-def expect(
+def estimate_run_time(
     estimates: Estimates, workload_class: str, declared_s: float = 0.0
-) -> Expectation:
+) -> RunTimeEstimate:
     """Return the expected run time of a task of a workload class.
 
     Until enough runs were observed, this is the declared run time, corrected
@@ -150,7 +150,7 @@
     """
     learned = estimates.classes.get(workload_class)
     if learned is not None and learned.runs.samples >= MIN_SAMPLES:
-        return Expectation(
+        return RunTimeEstimate(
             median_s=learned.median_s, p90_s=learned.p90_s, learned=True
         )
     median_s = declared_s if declared_s > 0 else DEFAULT_RUN_S
@@ -159,7 +159,7 @@
             median_s = declared_s * learned.ratio
         elif declared_s <= 0 and learned.runs.samples:
             median_s = learned.median_s
-    return Expectation(
+    return RunTimeEstimate(
         median_s=median_s, p90_s=median_s * DEFAULT_SPREAD, learned=False
     )
 
--- a/chestnuttide/queueing/_quota.py
+++ b/chestnuttide/queueing/_quota.py
@@ -12,25 +12,25 @@
 
     Attributes
     ----------
-    held : dict of str to Resources
+    used : dict of str to Resources
         Amount in use by team, without teams that use nothing.
     """
 
-    held: dict[str, model.Resources] = attrs.field(factory=dict)
+    used: dict[str, model.Resources] = attrs.field(factory=dict)
 
 
 def acquire(quota: QuotaState, team: str, amount: model.Resources) -> None:
     """Add an amount to the usage of a team."""
-    quota.held[team] = model.add(quota.held.get(team, model.ZERO), amount)
+    quota.used[team] = model.add(quota.used.get(team, model.ZERO), amount)
 
 
 def release(quota: QuotaState, team: str, amount: model.Resources) -> None:
     """Subtract an amount from the usage of a team."""
-    left = model.subtract(quota.held.get(team, model.ZERO), amount)
+    left = model.subtract(quota.used.get(team, model.ZERO), amount)
     if left == model.ZERO:
-        quota.held.pop(team, None)
+        quota.used.pop(team, None)
     else:
-        quota.held[team] = left
+        quota.used[team] = left
 
 
 def allows(
@@ -57,12 +57,12 @@
     bool
         Whether the sum is within the limit in each dimension.
     """
-    held = quota.held.get(team, model.ZERO)
+    used = quota.used.get(team, model.ZERO)
     return (
-        _within_limit(held.cpu_millis + amount.cpu_millis, limits.cpu_millis)
-        and _within_limit(held.memory_mb + amount.memory_mb, limits.memory_mb)
+        _within_limit(used.cpu_millis + amount.cpu_millis, limits.cpu_millis)
+        and _within_limit(used.memory_mb + amount.memory_mb, limits.memory_mb)
         and _within_limit(
-            held.accelerators + amount.accelerators, limits.accelerators
+            used.accelerators + amount.accelerators, limits.accelerators
         )
     )
 
--- a/chestnuttide/queueing/tests/test_estimates.py
+++ b/chestnuttide/queueing/tests/test_estimates.py
@@ -38,7 +38,7 @@
         ),
     ],
 )
-def test_expectation(
+def test_estimated_run_time(
     runs: list[tuple[float, float]],
     declared: float,
     expected_s: float,
@@ -46,16 +46,16 @@
 ) -> None:
     estimates = queueing.Estimates()
     for run_s, declared_s in runs:
-        queueing.observe(estimates, "c", run_s, declared_s)
-    expectation = queueing.expect(estimates, "c", declared)
-    assert expectation.median_s == pytest.approx(expected_s, rel=0.06)
-    assert expectation.learned == learned
+        queueing.record_run_time(estimates, "c", run_s, declared_s)
+    estimate = queueing.estimate_run_time(estimates, "c", declared)
+    assert estimate.median_s == pytest.approx(expected_s, rel=0.06)
+    assert estimate.learned == learned
 
 
 def test_five_percent_stragglers_do_not_shift_p90() -> None:
     estimates = queueing.Estimates()
     for number in range(1000):
         run_s = 50.0 if number % 20 == 0 else 1.0
-        queueing.observe(estimates, "c", run_s)
-    expectation = queueing.expect(estimates, "c")
-    assert expectation.p90_s == pytest.approx(1.0, rel=0.06)
+        queueing.record_run_time(estimates, "c", run_s)
+    estimate = queueing.estimate_run_time(estimates, "c")
+    assert estimate.p90_s == pytest.approx(1.0, rel=0.06)
--- a/chestnuttide/queueing/tests/test_limits.py
+++ b/chestnuttide/queueing/tests/test_limits.py
@@ -39,7 +39,7 @@
     assert queueing.allows(quota, "a", team, need) == allowed
     assert queueing.could_ever_allow(team, need)
     queueing.release(quota, "a", used)
-    assert not quota.held
+    assert not quota.used
     assert queueing.allows(quota, "a", team, need)
 
 
--- a/chestnuttide/workloads/_state.py
+++ b/chestnuttide/workloads/_state.py
@@ -99,7 +99,7 @@
         Monotonic time at which the worker answered a stop; 0 before.
     speed_percent : int
         Desired speed, in percent of full speed.
-    confirmed_speed_percent : int
+    sent_speed_percent : int
         Speed of the last throttle command, in percent of full speed; -1 after
         a failed one.
     """
@@ -125,7 +125,7 @@
     stop_sent_at: float = 0.0
     stop_acknowledged_at: float = 0.0
     speed_percent: int = 100
-    confirmed_speed_percent: int = 100
+    sent_speed_percent: int = 100
 
     @property
     def task(self) -> str:
--- a/chestnuttide/workloads/_supervision.py
+++ b/chestnuttide/workloads/_supervision.py
@@ -122,9 +122,7 @@
                 100, run.speed_percent + UNTHROTTLE_STEP_PERCENT
             )
     return [
-        run
-        for run in fillers
-        if run.speed_percent != run.confirmed_speed_percent
+        run for run in fillers if run.speed_percent != run.sent_speed_percent
     ]
 
 
