--- a/chestnuttide/jobs/_outcomes.py
+++ b/chestnuttide/jobs/_outcomes.py
@@ -58,8 +58,8 @@
     record.numbers = {}
     record.failed_on = {}
     queueing.cancel(state.queue, job_id)
-    if placement.held_key(state.cell) == job_id:
-        placement.release_hold(state.cell)
+    if placement.reserved_gang_key(state.cell) == job_id:
+        placement.release_gang_reservation(state.cell)
         _state.mark_capacity_changed(state)
     if record.live:
         state.closing.append(job_id)
@@ -278,7 +278,7 @@
         state.waiting_tasks -= 1
     job = record.job
     if report.run_s > 0:
-        queueing.observe(
+        queueing.record_run_time(
             state.estimates,
             job.workload_class,
             report.run_s,
