--- a/chestnuttide/mesh/__init__.py
+++ b/chestnuttide/mesh/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between the daemons, carried by websockets and CBOR."""
+"""Messages between the daemons, sent as CBOR over websockets."""
 
 from chestnuttide.mesh import _calls
 from chestnuttide.mesh import _codec
--- a/chestnuttide/mesh/_calls.py
+++ b/chestnuttide/mesh/_calls.py
@@ -1,4 +1,4 @@
-"""Matching of replies to calls by number."""
+"""Matches replies to calls by call id."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 
 @attrs.define(kw_only=True, slots=True)
 class Calls:
-    """Calls that wait for their replies.
+    """Calls that are awaiting a reply.
 
     Attributes
     ----------
     next_id : int
-        Number of the next call; unique in this process.
+        Id of the next call; unique within this process.
     pending : dict of int to (Connection, asyncio.Future)
-        Connection and future of each call that waits.
+        Connection and future of each pending call, by call id.
     unmatched : int
-        Replies that were late or doubled, and therefore dropped.
+        Number of replies dropped because they matched no pending call.
     """
 
     next_id: int = 1
@@ -32,7 +32,7 @@
 def open_call(
     calls: Calls, connection: _connection.Connection
 ) -> tuple[int, asyncio.Future]:
-    """Return the number and the future of a new call."""
+    """Register a new call and return its id and future."""
     call_id = calls.next_id
     calls.next_id += 1
     future = asyncio.get_running_loop().create_future()
@@ -41,22 +41,23 @@
 
 
 def close_call(calls: Calls, call_id: int) -> None:
-    """Forget a call; a later reply to it is counted as unmatched."""
+    """Remove a call; a later reply to it is counted as unmatched."""
     calls.pending.pop(call_id, None)
 
 
 def resolve(
     calls: Calls, connection: _connection.Connection, reply: object
 ) -> bool:
-    """Hand a reply to its call.
+    """Complete the call that a reply belongs to.
 
-    A reply from another connection than the one the call went to is not
-    taken, because call numbers are only unique per sender.
+    Call ids are unique only per sender, so a reply that arrives on a
+    connection other than the one used for the call is dropped.
 
     Returns
     -------
     bool
-        False if the reply was late, doubled or from another connection.
+        False if the reply was late, a duplicate or from another
+        connection.
     """
     call_id = reply.call_id
     pending = calls.pending.get(call_id)
@@ -68,12 +69,12 @@
 
 
 def fail_connection(calls: Calls, connection: _connection.Connection) -> None:
-    """Fail all calls that went to a connection that has ended."""
-    for peer, future in calls.pending.values():
-        if peer is connection and not future.done():
+    """Fail all pending calls on a connection that has closed."""
+    for called, future in calls.pending.values():
+        if called is connection and not future.done():
             future.set_exception(
                 errors.MeshError(
-                    message=f"The connection to {peer.peer.sender} ended.",
-                    remedy="Send the call to the shard's next owner.",
+                    message=f"The connection to {called.peer.sender} closed.",
+                    remedy="Send the call to the shard's new owner.",
                 )
             )
--- a/chestnuttide/mesh/_codec.py
+++ b/chestnuttide/mesh/_codec.py
@@ -1,8 +1,9 @@
 """Encoding of mesh messages as CBOR arrays.
 
-A frame is a CBOR array of messages, and a message is an array of its type's
-tag and its fields in order of declaration. New fields are appended with a
-default, so that a newer instance can talk to an older one.
+A frame is a CBOR array of messages. A message is an array that holds the tag
+of its type followed by its fields in order of declaration. New fields are
+appended with a default, so that instances of different releases can exchange
+messages.
 """
 
 import collections.abc
@@ -17,34 +18,34 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class _MessageType:
-    """How one class of messages is written and read.
+    """Describes how a message class is encoded and decoded.
 
     Attributes
     ----------
     message_class : type
         The attrs class.
-    names : tuple of str
-        Its fields, in order.
-    tuples : tuple of str
-        The fields that hold tuples, which CBOR returns as lists.
-    values : function
-        Returns the values of all fields of a message.
+    field_names : tuple of str
+        Names of its fields, in order of declaration.
+    tuple_fields : tuple of str
+        Names of the fields that hold tuples, which CBOR decodes as lists.
+    get_values : function
+        Returns the field values of a message, in order.
     """
 
     message_class: type
-    names: tuple[str, ...]
-    tuples: tuple[str, ...]
-    values: collections.abc.Callable[[object], tuple[object, ...]]
+    field_names: tuple[str, ...]
+    tuple_fields: tuple[str, ...]
+    get_values: collections.abc.Callable[[object], tuple[object, ...]]
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Codec:
-    """Message types of the mesh by tag.
+    """Message types of the mesh, by tag.
 
     Attributes
     ----------
     by_tag : tuple of _MessageType
-        The types; the index is the tag.
+        The message types; the index of each is its tag.
     tags : dict of type to int
         Tag of each message class.
     """
@@ -54,7 +55,7 @@
 
 
 def make_codec(classes: collections.abc.Sequence[type]) -> Codec:
-    """Return a codec for message classes, whose order gives the tags.
+    """Return a codec that numbers message classes in the given order.
 
     Parameters
     ----------
@@ -62,7 +63,7 @@
         Frozen attrs classes whose fields are str, int, float, bool, bytes,
         None or (nested) tuples of these.
     """
-    types = tuple(_describe(each) for each in classes)
+    types = tuple(_make_message_type(each) for each in classes)
     tags = {each.message_class: tag for tag, each in enumerate(types)}
     return Codec(by_tag=types, tags=tags)
 
@@ -74,7 +75,7 @@
     items = []
     for message in messages:
         tag = tags[type(message)]
-        items.append([tag, *by_tag[tag].values(message)])
+        items.append([tag, *by_tag[tag].get_values(message)])
     return cbor2.dumps(items)
 
 
@@ -84,10 +85,10 @@
     Raises
     ------
     errors.ProtocolError
-        If the frame is no array of known messages.
+        If the frame is not an array of known messages.
     """
     try:
-        return [_build(codec, item) for item in cbor2.loads(frame)]
+        return [_decode_message(codec, item) for item in cbor2.loads(frame)]
     except (
         cbor2.CBORDecodeError,
         IndexError,
@@ -100,37 +101,40 @@
         ) from error
 
 
-def _describe(message_class: type) -> _MessageType:
+def _make_message_type(message_class: type) -> _MessageType:
     fields = attrs.fields(message_class)
-    names = tuple(field.name for field in fields)
-    tuples = tuple(
+    field_names = tuple(field.name for field in fields)
+    tuple_fields = tuple(
         field.name
         for field in fields
         if typing.get_origin(field.type) is tuple
     )
-    if len(names) == 1:
-        get_one = operator.attrgetter(names[0])
+    if len(field_names) == 1:
+        get_only_value = operator.attrgetter(field_names[0])
 
-        def values(message: object) -> tuple[object, ...]:
-            return (get_one(message),)
+        def get_values(message: object) -> tuple[object, ...]:
+            return (get_only_value(message),)
 
     else:
-        values = operator.attrgetter(*names)
+        get_values = operator.attrgetter(*field_names)
     return _MessageType(
-        message_class=message_class, names=names, tuples=tuples, values=values
+        message_class=message_class,
+        field_names=field_names,
+        tuple_fields=tuple_fields,
+        get_values=get_values,
     )
 
 
-def _build(codec: Codec, item: list[object]) -> object:
+def _decode_message(codec: Codec, item: list[object]) -> object:
     message_type = codec.by_tag[item[0]]
-    fields = dict(zip(message_type.names, item[1:], strict=False))
-    for name in message_type.tuples:
+    fields = dict(zip(message_type.field_names, item[1:], strict=False))
+    for name in message_type.tuple_fields:
         if name in fields:
-            fields[name] = _as_tuple(fields[name])
+            fields[name] = _to_tuple(fields[name])
     return message_type.message_class(**fields)
 
 
-def _as_tuple(value: object) -> object:
+def _to_tuple(value: object) -> object:
     if isinstance(value, list | tuple):
-        return tuple(_as_tuple(each) for each in value)
+        return tuple(_to_tuple(each) for each in value)
     return value
--- a/chestnuttide/mesh/_connection.py
+++ b/chestnuttide/mesh/_connection.py
@@ -16,14 +16,14 @@
 
 @attrs.define(kw_only=True, slots=True)
 class Traffic:
-    """Counts of what all connections of a daemon carried.
+    """Traffic counters over all connections of a daemon.
 
     Attributes
     ----------
     messages_sent, messages_received : int
-        Messages.
+        Number of messages.
     bytes_sent, bytes_received : int
-        Bytes of websocket payload.
+        Number of websocket payload bytes.
     queue_full : int
         Messages refused because a send queue was full.
     undecodable : int
@@ -45,11 +45,11 @@
     Attributes
     ----------
     queue_messages : int
-        Most messages that wait to be sent.
+        Maximum number of messages in the send queue.
     queue_bytes : int
-        Most payload bytes that wait to be sent.
+        Maximum number of payload bytes in the send queue.
     frame_bytes : int
-        Largest frame that is accepted.
+        Maximum size of a received frame in bytes.
     """
 
     queue_messages: int = 10_000
@@ -59,28 +59,28 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Connection:
-    """A connection after its handshake.
+    """A connection that has completed its handshake.
 
     Attributes
     ----------
     peer : Hello
-        What the peer said about itself.
+        Identity of the peer, as sent in its handshake.
     socket : websockets connection
-        The websocket.
+        The underlying websocket.
     codec : Codec
-        Encoding of messages.
+        Encodes and decodes the messages.
     limits : Limits
         Limits of the send queue.
     traffic : Traffic
-        Counts of the daemon.
+        Traffic counters of the daemon.
     queue : list of object
-        Messages that wait to be sent.
+        Send queue.
     queue_bytes : int
-        Their payload bytes.
+        Payload bytes in the send queue.
     wake : asyncio.Event
-        Set while messages wait.
+        Set while the send queue is not empty.
     received_at : float
-        Monotonic time in seconds of the last frame from the peer.
+        Monotonic time in seconds at which the last frame arrived.
     """
 
     peer: _messages.Hello
@@ -99,7 +99,9 @@
 
 
 def send(connection: Connection, message: object) -> None:
-    """Queue a message; those of one loop iteration go out as one frame.
+    """Queue a message for sending.
+
+    Messages queued in the same event loop iteration share a frame.
 
     Raises
     ------
@@ -114,7 +116,7 @@
         connection.traffic.queue_full += 1
         raise errors.MeshError(
             message=f"The send queue to {connection.peer.sender} is full.",
-            remedy="Send less, or raise mesh.queue_messages.",
+            remedy="Send less, or raise mesh.mesh_queue_messages.",
         )
     connection.queue.append(message)
     connection.queue_bytes += size
@@ -122,12 +124,12 @@
 
 
 def abort(connection: Connection) -> None:
-    """End a connection whose peer does not answer, without a handshake."""
+    """Drop the connection to an unresponsive peer without a handshake."""
     connection.socket.transport.abort()
 
 
 def is_full(connection: Connection) -> bool:
-    """Return whether a message without payload would be refused."""
+    """Return whether `send` would refuse a message without a payload."""
     return (
         len(connection.queue) >= connection.limits.queue_messages
         or connection.queue_bytes > connection.limits.queue_bytes
@@ -148,7 +150,7 @@
     Raises
     ------
     errors.MeshError
-        If the peer sent something else or nothing in time.
+        If the peer sent another message, or none before the timeout.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -165,8 +167,8 @@
         ) from error
     if not first or not isinstance(first[0], _messages.Hello):
         raise errors.MeshError(
-            message="The peer did not begin with a Hello message.",
-            remedy="Check that mesh addresses point at schedulers.",
+            message="The first message from the peer was not Hello.",
+            remedy="Check that the mesh addresses are those of schedulers.",
         )
     return Connection(
         peer=first[0],
@@ -178,7 +180,7 @@
 
 
 async def run(connection: Connection, handler: Handler) -> None:
-    """Carry messages both ways until the connection ends."""
+    """Send and receive messages until the connection closes."""
     sender = asyncio.ensure_future(_send_loop(connection))
     try:
         with contextlib.suppress(websockets.ConnectionClosed):
@@ -193,7 +195,8 @@
 async def _send_loop(connection: Connection) -> None:
     while True:
         await connection.wake.wait()
-        # Lets the rest of this loop iteration add its messages to the frame.
+        # Lets other callbacks of this loop iteration add messages to the
+        # frame.
         await asyncio.sleep(0)
         messages, connection.queue = connection.queue, []
         connection.queue_bytes = 0
--- a/chestnuttide/mesh/_messages.py
+++ b/chestnuttide/mesh/_messages.py
@@ -17,7 +17,7 @@
     kind : str
         ``entry`` or ``scheduler``.
     incarnation : str
-        Changes with each start of the daemon.
+        Id of this start of the daemon; each start has a new one.
     data_centre : str
         Data centre of the sender.
     """
@@ -30,12 +30,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Heartbeat:
-    """Sign of life with the versions that the sender has.
+    """Periodic sign that the sender is alive.
 
     Attributes
     ----------
     config_version : int
-        Config version in force at the sender.
+        Version of the configuration in force at the sender.
     """
 
     config_version: int
@@ -43,14 +43,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class OwnedShards:
-    """All shards that the sender owns; sent on each change.
+    """Complete list of shards that the sender owns, sent on each change.
 
     Attributes
     ----------
     shards : tuple of (str, int)
         Name and epoch of each shard.
     draining : bool
-        Whether the sender is about to stop.
+        Whether the sender is draining before it stops.
     """
 
     shards: tuple[tuple[str, int], ...]
@@ -59,30 +59,31 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class RequestCall:
-    """A caller's request on its way from an entry to the owner.
+    """A caller's request, forwarded by an entry to the shard's owner.
 
     Attributes
     ----------
     call_id : int
-        Number of the call on this connection.
+        Id of the call, unique within the sending process.
     shard : str
-        Shard that decides about the request.
+        Shard responsible for the request.
     request_id : str
-        The caller's id.
+        Request id that the caller chose.
     service : str
-        Service that answers it.
+        Service that the request is for.
     team : str
-        Team that is charged for it.
+        Team whose share the request uses.
     urgent : bool
-        Whether it goes first.
+        Whether the request takes precedence over others.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     timeout_s : float
-        Seconds until its deadline.
+        Seconds until the deadline of the request.
     payload : bytes
         JSON body for the target.
     resend : bool
-        Whether the entry sent it before on a connection that ended.
+        Whether the entry may have sent it before, on a connection that
+        has closed.
     """
 
     call_id: int
@@ -99,26 +100,26 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class RequestReply:
-    """The answer to a `RequestCall`.
+    """The reply to a `RequestCall`.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     request_id : str
-        The caller's id, checked against the call.
+        Request id that the caller chose, checked against the call.
     status : int
         HTTP status for the caller.
     content_type : str
         Media type of the body.
     body : bytes
-        Whole body for the caller.
+        Complete response body for the caller.
     reason : str
-        Reason of a refusal; empty for a target's answer.
+        Reason of a refusal; empty for a target's response.
     run_state : str
-        What is known about whether the request ran.
+        Whether the request ran, as far as is known.
     target : str
-        Instance id of the target that answered.
+        Instance id of the target that responded.
     """
 
     call_id: int
@@ -133,12 +134,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class RequestCancel:
-    """The caller of a request has gone away.
+    """Tells the owner that the caller of a request disconnected.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the `RequestCall`.
     """
 
     call_id: int
@@ -146,18 +147,18 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class RequestRead:
-    """Asks for the state of a non-idempotent request.
+    """Requests the state of a non-idempotent request.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     shard : str
-        Shard that decides about the request.
+        Shard responsible for the request.
     request_id : str
-        The caller's id.
+        Request id that the caller chose.
     want_answer : bool
-        Whether the kept answer is wanted in place of the state.
+        Whether to return the stored response instead of the state.
     """
 
     call_id: int
@@ -168,12 +169,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class JobSubmit:
-    """Submits a job to the owner of its pool.
+    """Submits a job to the owner of its pool shard.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     shard : str
         Shard of the pool.
     job_id, kind, team, workload_class : str
@@ -187,8 +188,8 @@
     payload : bytes
         See `model.Job`.
     resend : bool
-        Whether the entry may have sent it before, so that an equal job with
-        the same id is this one.
+        Whether the entry may have sent it before. If so, an equal job with
+        the same id is the same submission.
     """
 
     call_id: int
@@ -210,20 +211,20 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class JobRead:
-    """Asks for one job, or for all jobs of a pool.
+    """Requests the state of one job or of all jobs of a pool.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     shard : str
         Shard of the pool.
     job_id : str
-        Id of the job; empty for all.
+        Id of the job; empty for all jobs.
     team : str
-        Restricts a list to one team; empty for all.
+        Team to which the list is restricted; empty for all teams.
     after : str
-        Id after which a list begins.
+        Job id after which the list starts.
     """
 
     call_id: int
@@ -240,7 +241,7 @@
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     shard : str
         Shard of the pool.
     job_id : str
@@ -254,20 +255,20 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PatchSubmit:
-    """Submits a config patch.
+    """Submits a configuration patch.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     base : int
-        Version that the patch was made against.
+        Configuration version that the patch is based on.
     patch : bytes
         JSON merge patch.
     author : str
-        Who submits it.
+        Author of the patch.
     write_id : str
-        Id of the submission, the same when the entry tries it again.
+        Id of the submission; retries by the entry reuse it.
     """
 
     call_id: int
@@ -279,16 +280,16 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ConfigRead:
-    """Asks for a config version, or for the history.
+    """Requests a configuration version or the version history.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     version : int
         Version to read; -1 for the one in force.
     history : bool
-        Whether the list of versions is wanted instead.
+        Whether to return the list of versions instead.
     """
 
     call_id: int
@@ -298,12 +299,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class StatusRead:
-    """Asks a scheduler for its part of the cell's status.
+    """Requests a scheduler's part of the cell status.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     """
 
     call_id: int
@@ -311,12 +312,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Drain:
-    """Asks an instance's scheduler to hand over its shards and stop.
+    """Tells an instance's scheduler to hand over its shards and stop.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     """
 
     call_id: int
@@ -324,12 +325,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Reply:
-    """The answer to any call but `RequestCall`.
+    """The reply to any call other than `RequestCall`.
 
     Attributes
     ----------
     call_id : int
-        Number of the call.
+        Id of the call.
     status : int
         HTTP status for the caller.
     reason : str
@@ -346,12 +347,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ConfigPatches:
-    """Config patches for a peer that has an older version.
+    """Configuration patches for a peer that has an older version.
 
     Attributes
     ----------
     patches : tuple of (int, bytes)
-        Version and stored value of each patch, in order.
+        Version and stored value of each patch, in version order.
     """
 
     patches: tuple[tuple[int, bytes], ...]
@@ -359,14 +360,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ConfigSnapshot:
-    """A whole config document, for a peer that lags too far behind.
+    """A full configuration, for a peer too far behind to be sent patches.
 
     Attributes
     ----------
     version : int
-        Version of the document.
+        Version of the configuration.
     document : bytes
-        JSON object.
+        The configuration as a JSON object.
     """
 
     version: int
@@ -375,12 +376,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ConfigFetch:
-    """Asks a peer for the config patches after a version.
+    """Requests the configuration patches after a version.
 
     Attributes
     ----------
     after : int
-        Last version that the sender has.
+        Newest version that the sender has.
     """
 
     after: int
@@ -388,7 +389,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class SlotsFreed:
-    """Slots that the former owner of a shard no longer uses.
+    """Reports target slots that the former owner of a shard no longer uses.
 
     Attributes
     ----------
@@ -397,7 +398,7 @@
     target : str
         Instance id of the target.
     count : int
-        Number of slots.
+        Number of slots freed.
     """
 
     shard: str
@@ -407,7 +408,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class TargetsLeaving:
-    """Targets that the sender knows to be leaving.
+    """Reports targets that are leaving, as far as the sender knows.
 
     Attributes
     ----------
@@ -418,6 +419,7 @@
     targets: tuple[str, ...]
 
 
+# The position of a class is its tag on the wire.
 MESSAGE_CLASSES: tuple[type, ...] = (
     Hello,
     Heartbeat,
--- a/chestnuttide/mesh/_network.py
+++ b/chestnuttide/mesh/_network.py
@@ -1,4 +1,4 @@
-"""All mesh connections of a daemon: accepting, dialling and reconnecting."""
+"""Accepts, opens and reopens the mesh connections of a daemon."""
 
 import asyncio
 import collections.abc
@@ -20,44 +20,45 @@
 
 HANDSHAKE_TIMEOUT_S = 2.0
 DIAL_TIMEOUT_S = 2.0
-# Bounds of the pause before a peer is dialled again. The first is short,
-# because a shard's successor must be reachable well within failover time.
-REDIAL_MINIMUM_S = 0.1
-REDIAL_MAXIMUM_S = 2.0
+# Bounds of the delay before a peer is dialled again. The first delay is short
+# because a shard's new owner must be reachable well within the failover time.
+REDIAL_DELAY_MIN_S = 0.1
+REDIAL_DELAY_MAX_S = 2.0
 
 
-# A function that is told of a connection's begin or end.
-Event: typing.TypeAlias = collections.abc.Callable[
+# Called when a connection opens or closes.
+ConnectionCallback: typing.TypeAlias = collections.abc.Callable[
     [_connection.Connection], None
 ]
 
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class Network:
-    """State of all connections of a daemon.
+    """State of the mesh connections of a daemon.
 
     Attributes
     ----------
     hello : Hello
-        What this daemon says about itself.
+        Identity that this daemon sends in each handshake.
     codec : Codec
-        Encoding of messages.
+        Encodes and decodes the messages.
     limits : Limits
-        Limits of each connection.
+        Limits that apply to each connection.
     rng : random.Random
-        Source of the jitter of redials.
+        Random generator for the jitter of redial delays.
     on_message : function
-        Called with the connection and each received message.
+        Called with the connection and the message for each message
+        received.
     on_connected, on_disconnected : function
-        Called with a connection after its handshake and after its end.
+        Called with a connection after its handshake and after it closes.
     traffic : Traffic
-        Counts over all connections.
+        Traffic counters over all connections.
     connections : dict of (str, str) to Connection
-        Open connections by kind and instance id of the peer.
-    dials : dict of str to asyncio.Task
-        Running dial loops by address.
+        Open connections, by kind and instance id of the peer.
+    dial_tasks : dict of str to asyncio.Task
+        Tasks that keep a connection open, by address.
     server : websockets server or None
-        Present when this daemon accepts connections.
+        The server, if this daemon accepts connections.
     """
 
     hello: _messages.Hello
@@ -65,21 +66,21 @@
     limits: _connection.Limits
     rng: random.Random
     on_message: _connection.Handler = lambda connection, message: None
-    on_connected: Event = lambda connection: None
-    on_disconnected: Event = lambda connection: None
+    on_connected: ConnectionCallback = lambda connection: None
+    on_disconnected: ConnectionCallback = lambda connection: None
     traffic: _connection.Traffic = attrs.field(factory=_connection.Traffic)
     connections: dict[tuple[str, str], _connection.Connection] = attrs.field(
         factory=dict
     )
-    dials: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
+    dial_tasks: dict[str, asyncio.Task[None]] = attrs.field(factory=dict)
     server: ws_server.Server | None = None
 
 
 async def listen(network: Network, *, ip: str, port: int) -> int:
-    """Accept connections and return the port that is listened on."""
+    """Start accepting connections and return the listening port."""
 
     async def accept(socket: ws_server.ServerConnection) -> None:
-        await _serve(network, socket)
+        await _run_connection(network, socket)
 
     network.server = await ws_server.serve(
         accept,
@@ -87,7 +88,7 @@
         port,
         compression=None,
         max_size=network.limits.frame_bytes,
-        # The heartbeat message replaces the websocket's pings.
+        # The mesh sends its own heartbeats in place of websocket pings.
         ping_interval=None,
     )
     return next(iter(network.server.sockets)).getsockname()[1]
@@ -96,17 +97,17 @@
 def set_addresses(
     network: Network, addresses: collections.abc.Collection[str]
 ) -> None:
-    """Dial each address and stop dialling all others."""
-    for address in set(network.dials) - set(addresses):
-        network.dials.pop(address).cancel()
-    for address in set(addresses) - set(network.dials):
-        network.dials[address] = asyncio.ensure_future(
+    """Keep connections to these addresses and stop dialling all others."""
+    for address in set(network.dial_tasks) - set(addresses):
+        network.dial_tasks.pop(address).cancel()
+    for address in set(addresses) - set(network.dial_tasks):
+        network.dial_tasks[address] = asyncio.ensure_future(
             _dial_loop(network, address)
         )
 
 
 async def close(network: Network) -> None:
-    """Send what is queued, close all connections and stop listening."""
+    """Flush the send queues, close all connections and stop listening."""
     await asyncio.gather(
         *(_flush(each) for each in network.connections.values())
     )
@@ -130,12 +131,12 @@
 def send_if_possible(
     connection: _connection.Connection, message: object
 ) -> bool:
-    """Queue a message whose loss the protocol tolerates.
+    """Queue a message that may be lost.
 
     Returns
     -------
     bool
-        False if the send queue was full; the loss is counted.
+        False if the send queue was full; the refusal is counted.
     """
     try:
         _connection.send(connection, message)
@@ -151,7 +152,7 @@
 
 
 async def _dial_loop(network: Network, address: str) -> None:
-    pause_s = REDIAL_MINIMUM_S
+    delay_s = REDIAL_DELAY_MIN_S
     while True:
         with contextlib.suppress(
             OSError,
@@ -166,14 +167,16 @@
                 ping_interval=None,
                 open_timeout=DIAL_TIMEOUT_S,
             )
-            pause_s = REDIAL_MINIMUM_S
-            await _serve(network, socket)
-        await asyncio.sleep(pause_s * network.rng.uniform(0.5, 1.0))
-        pause_s = min(REDIAL_MAXIMUM_S, pause_s * 2)
+            delay_s = REDIAL_DELAY_MIN_S
+            await _run_connection(network, socket)
+        await asyncio.sleep(delay_s * network.rng.uniform(0.5, 1.0))
+        delay_s = min(REDIAL_DELAY_MAX_S, delay_s * 2)
 
 
-async def _serve(network: Network, socket: ws_connection.Connection) -> None:
-    _disable_delay(socket)
+async def _run_connection(
+    network: Network, socket: ws_connection.Connection
+) -> None:
+    _disable_nagle(socket)
     try:
         connection = await _connection.handshake(
             socket=socket,
@@ -187,12 +190,12 @@
         await socket.close()
         return
     key = (connection.peer.kind, connection.peer.sender)
-    former = network.connections.get(key)
+    stale = network.connections.get(key)
     network.connections[key] = connection
-    if former is not None:
-        # The peer restarted or redialled; its former connection is stale.
-        network.on_disconnected(former)
-        await former.socket.close()
+    if stale is not None:
+        # The peer restarted or redialled, so its old connection is stale.
+        network.on_disconnected(stale)
+        await stale.socket.close()
     network.on_connected(connection)
     try:
         await _connection.run(connection, network.on_message)
@@ -202,6 +205,8 @@
             network.on_disconnected(connection)
 
 
-def _disable_delay(socket: ws_connection.Connection) -> None:
-    raw = socket.transport.get_extra_info("socket")
-    raw.setsockopt(socket_module.IPPROTO_TCP, socket_module.TCP_NODELAY, 1)
+def _disable_nagle(socket: ws_connection.Connection) -> None:
+    raw_socket = socket.transport.get_extra_info("socket")
+    raw_socket.setsockopt(
+        socket_module.IPPROTO_TCP, socket_module.TCP_NODELAY, 1
+    )
--- a/chestnuttide/mesh/tests/test_network.py
+++ b/chestnuttide/mesh/tests/test_network.py
@@ -6,7 +6,7 @@
 from chestnuttide import errors
 from chestnuttide import mesh
 
-_DEADLINE_S = 5.0
+_WAIT_TIMEOUT_S = 5.0
 
 
 def _make_network(
@@ -25,26 +25,28 @@
     )
 
 
-async def _until(condition: object) -> None:
-    async with asyncio.timeout(_DEADLINE_S):
+async def _wait_until(condition: object) -> None:
+    async with asyncio.timeout(_WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 def test_messages_arrive_once_and_in_order() -> None:
+    """Guards against lost, duplicated or reordered messages."""
+
     async def scenario() -> list[object]:
         received: list[object] = []
         server = _make_network("a", received)
         client = _make_network("b", [])
         port = await mesh.listen(server, ip="127.0.0.1", port=0)
         mesh.set_addresses(client, [f"127.0.0.1:{port}"])
-        await _until(lambda: mesh.schedulers(client))
+        await _wait_until(lambda: mesh.schedulers(client))
         for version in range(1000):
             mesh.send(
                 mesh.schedulers(client)[0],
                 mesh.Heartbeat(config_version=version),
             )
-        await _until(lambda: len(received) >= 1000)
+        await _wait_until(lambda: len(received) >= 1000)
         await mesh.close(client)
         await mesh.close(server)
         return received
@@ -53,18 +55,20 @@
     assert [each.config_version for each in received] == list(range(1000))
 
 
-def test_peer_is_dialled_again_after_its_restart() -> None:
+def test_restarted_peer_is_redialled() -> None:
+    """Guards against a restarted peer that stays disconnected."""
+
     async def scenario() -> None:
         client = _make_network("b", [])
         first = _make_network("a", [])
         port = await mesh.listen(first, ip="127.0.0.1", port=0)
         mesh.set_addresses(client, [f"127.0.0.1:{port}"])
-        await _until(lambda: mesh.schedulers(client))
+        await _wait_until(lambda: mesh.schedulers(client))
         await mesh.close(first)
-        await _until(lambda: not mesh.schedulers(client))
+        await _wait_until(lambda: not mesh.schedulers(client))
         second = _make_network("a", [])
         await mesh.listen(second, ip="127.0.0.1", port=port)
-        await _until(lambda: mesh.schedulers(client))
+        await _wait_until(lambda: mesh.schedulers(client))
         await mesh.close(client)
         await mesh.close(second)
 
@@ -75,18 +79,22 @@
     "limits",
     [
         pytest.param(
-            mesh.Limits(queue_messages=2), id="unbounded_message_count"
+            mesh.Limits(queue_messages=2), id="message_count_is_not_limited"
+        ),
+        pytest.param(
+            mesh.Limits(queue_bytes=25), id="payload_bytes_are_not_limited"
         ),
-        pytest.param(mesh.Limits(queue_bytes=25), id="unbounded_bytes"),
     ],
 )
-def test_full_queue_refuses(limits: mesh.Limits) -> None:
+def test_full_queue_refuses_messages(limits: mesh.Limits) -> None:
+    """Guards against a send queue that grows beyond its limits."""
+
     async def scenario() -> int:
         server = _make_network("a", [])
         client = _make_network("b", [], limits)
         port = await mesh.listen(server, ip="127.0.0.1", port=0)
         mesh.set_addresses(client, [f"127.0.0.1:{port}"])
-        await _until(lambda: mesh.schedulers(client))
+        await _wait_until(lambda: mesh.schedulers(client))
         reply = mesh.Reply(call_id=1, status=200, reason="", body=b"x" * 10)
         with pytest.raises(errors.MeshError):
             for _ in range(3):
@@ -103,11 +111,15 @@
     ("replies", "unmatched"),
     [
         pytest.param([1], 0, id="reply_is_lost"),
-        pytest.param([1, 1], 1, id="doubled_reply_is_taken_twice"),
-        pytest.param([2, 1], 1, id="foreign_reply_is_taken"),
+        pytest.param([1, 1], 1, id="duplicate_reply_is_accepted"),
+        pytest.param([2, 1], 1, id="reply_to_another_call_is_accepted"),
     ],
 )
-def test_replies_are_matched(replies: list[int], unmatched: int) -> None:
+def test_replies_are_matched_to_calls(
+    replies: list[int], unmatched: int
+) -> None:
+    """Guards against lost replies and replies that complete a wrong call."""
+
     async def scenario() -> None:
         calls = mesh.Calls()
         connection = object()
