--- a/chestnuttide/entry/__init__.py
+++ b/chestnuttide/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon that callers and operators talk to."""
+"""The daemon that serves the HTTP interface for callers and operators."""
 
 from chestnuttide import daemon
 from chestnuttide.entry import _daemon
--- a/chestnuttide/entry/_daemon.py
+++ b/chestnuttide/entry/_daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: wiring, peers, planned stop."""
+"""The entry daemon: start, mesh peers and graceful stop."""
 
 import asyncio
 import signal
@@ -17,21 +17,22 @@
 from chestnuttide import settings as settings_module
 from chestnuttide import telemetry
 
-# After a stop is asked for, calls are still accepted for this long, so that
-# the balancer sees the readiness change first.
-READINESS_NOTICE_S = 1.0
-POLL_S = 0.05
-# A peer that has sent nothing for this many heartbeats is taken for paused.
-SILENT_HEARTBEATS = 1.5
-# Bodies up to this size are read, and refused with a code if they are larger
-# than the settings allow; of larger ones only the headers are read.
-MAX_READ_BYTES = 64 * 1024 * 1024
+# Calls are still accepted for this long after a stop is requested, so that the
+# load balancer sees the readiness change first.
+READINESS_DELAY_S = 1.0
+STOP_POLL_S = 0.05
+# A peer that has sent nothing for this many heartbeat intervals counts as
+# unresponsive.
+UNRESPONSIVE_HEARTBEATS = 1.5
+# Bodies up to this size are read, and refused with an error code if they
+# exceed the configured limit. For larger bodies only the headers are read.
+MAX_READ_BODY_BYTES = 64 * 1024 * 1024
 
 LOG = telemetry.make_logger("entry")
 
 
 def make_application(state: _state.EntryState) -> tornado.web.Application:
-    """Return the HTTP interface of the entry."""
+    """Return the HTTP application of the entry."""
     shared = {"state": state}
     name = "([^/]+)"
     return tornado.web.Application(
@@ -63,14 +64,14 @@
         ],
         default_handler_class=_handlers.UnknownPathHandler,
         default_handler_args=shared,
-        # Refusals are counted by reason; a log line for each would cost more
-        # than the request.
+        # Refusals are counted by reason; logging each one would cost more than
+        # the request itself.
         log_function=lambda handler: None,
     )
 
 
 def make_state(settings: settings_module.Settings) -> _state.EntryState:
-    """Return the state of an entry that is not connected yet."""
+    """Return the state of an entry that has no connections yet."""
     config_state = config_module.ConfigState()
     network = daemon.make_network(settings, "entry")
     state = _state.EntryState(
@@ -80,11 +81,13 @@
         config_filter=config_module.make_config_filter(config_state),
         config=config_state,
     )
-    network.on_message = lambda connection, message: _take_message(
+    network.on_message = lambda connection, message: _handle_message(
         state, connection, message
     )
-    network.on_connected = lambda connection: _connected(state, connection)
-    network.on_disconnected = lambda connection: _disconnected(
+    network.on_connected = lambda connection: _handle_connected(
+        state, connection
+    )
+    network.on_disconnected = lambda connection: _handle_disconnected(
         state, connection
     )
     return state
@@ -95,7 +98,7 @@
     state = make_state(settings)
     server = tornado.httpserver.HTTPServer(
         make_application(state),
-        max_body_size=MAX_READ_BYTES,
+        max_body_size=MAX_READ_BODY_BYTES,
         max_buffer_size=2 * settings.entry.max_body_bytes,
     )
     server.listen(settings.entry.http_port, address=settings.advertise_ip)
@@ -107,11 +110,11 @@
     LOG.info("listening on port %d", settings.entry.http_port)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     tasks = [
         asyncio.ensure_future(_poll_instances(state)),
-        asyncio.ensure_future(_tick(state)),
+        asyncio.ensure_future(_heartbeat_loop(state)),
     ]
     await stop.wait()
     await _stop(state, server)
@@ -125,16 +128,16 @@
 async def _stop(
     state: _state.EntryState, server: tornado.httpserver.HTTPServer
 ) -> None:
-    """Answer all calls in flight before the daemon ends."""
+    """Answer the calls in flight, up to a deadline, and stop the server."""
     LOG.info("stopping")
     state.stopping = True
-    await asyncio.sleep(READINESS_NOTICE_S)
+    await asyncio.sleep(READINESS_DELAY_S)
     server.stop()
     deadline = time.monotonic() + state.settings.coordination.stop_grace_s
     while state.in_flight and time.monotonic() < deadline:
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(STOP_POLL_S)
     if state.in_flight:
-        LOG.warning("stop cut off %d calls", state.in_flight)
+        LOG.warning("stopped with %d calls in flight", state.in_flight)
     await server.close_all_connections()
 
 
@@ -148,21 +151,21 @@
     }
     mesh.set_addresses(state.network, set(addresses.values()))
 
-    def take_changes(instances: tuple[model.Instance, ...]) -> None:
+    def handle_changes(instances: tuple[model.Instance, ...]) -> None:
         daemon.update_addresses(addresses, instances)
         mesh.set_addresses(state.network, set(addresses.values()))
 
     await daemon.poll_instances(
-        settings, model.InstanceKind.ENTRY.value, take_changes
+        settings, model.InstanceKind.ENTRY.value, handle_changes
     )
 
 
-async def _tick(state: _state.EntryState) -> None:
-    """Send heartbeats and keep the metrics and the config up to date."""
+async def _heartbeat_loop(state: _state.EntryState) -> None:
+    """Send heartbeats and update the metrics and the configuration."""
     counted = mesh.Traffic()
     while True:
         await asyncio.sleep(state.settings.mesh.heartbeat_s)
-        _run_config(state, config_module.Tick())
+        _update_config(state, config_module.Tick())
         heartbeat = mesh.Heartbeat(config_version=state.config.history.version)
         for connection in mesh.schedulers(state.network):
             mesh.send_if_possible(connection, heartbeat)
@@ -172,7 +175,9 @@
         )
 
 
-def _connected(state: _state.EntryState, connection: mesh.Connection) -> None:
+def _handle_connected(
+    state: _state.EntryState, connection: mesh.Connection
+) -> None:
     LOG.info("connected to scheduler %s", connection.peer.sender)
     mesh.send_if_possible(
         connection,
@@ -180,52 +185,55 @@
     )
 
 
-def _disconnected(
+def _handle_disconnected(
     state: _state.EntryState, connection: mesh.Connection
 ) -> None:
-    LOG.info("lost scheduler %s", connection.peer.sender)
+    LOG.info("disconnected from scheduler %s", connection.peer.sender)
     _owners.drop_connection(state.owners, connection)
     mesh.fail_connection(state.calls, connection)
 
 
-def _take_message(
+def _handle_message(
     state: _state.EntryState, connection: mesh.Connection, message: object
 ) -> None:
     match message:
         case mesh.RequestReply() | mesh.Reply():
             mesh.resolve(state.calls, connection, message)
         case mesh.OwnedShards():
-            for former in _owners.take_owned(
+            for former in _owners.update_owned_shards(
                 state.owners, connection, message
             ):
-                _abort_if_silent(state, former)
+                _abort_if_unresponsive(state, former)
         case _:
             config_message = daemon.to_config_message(message)
             if config_message is not None:
-                _run_config(state, config_message, connection)
+                _update_config(state, config_message, connection)
 
 
-def _abort_if_silent(
+def _abort_if_unresponsive(
     state: _state.EntryState, former: mesh.Connection
 ) -> None:
-    """End the connection to a former owner that is paused or unreachable.
+    """Drop the connection to a former owner that is paused or unreachable.
 
-    Its calls then go to the new owner instead of waiting for their deadlines.
-    A former owner that hands over still sends heartbeats, and answers what it
-    has in flight.
+    Its calls are then resent to the new owner instead of waiting for their
+    deadlines. A former owner that handed over its shard still sends heartbeats
+    and answers the calls that it has in flight.
     """
-    silent_s = time.monotonic() - former.received_at
-    if silent_s > SILENT_HEARTBEATS * state.settings.mesh.heartbeat_s:
-        LOG.warning("scheduler %s is silent", former.peer.sender)
+    idle_s = time.monotonic() - former.received_at
+    if idle_s > UNRESPONSIVE_HEARTBEATS * state.settings.mesh.heartbeat_s:
+        LOG.warning("scheduler %s is unresponsive", former.peer.sender)
         mesh.abort(former)
 
 
-def _run_config(
+def _update_config(
     state: _state.EntryState,
     message: object,
     connection: mesh.Connection | None = None,
 ) -> None:
-    """Feed the config filter; an entry asks schedulers, not the store."""
+    """Pass a message to the configuration filter and act on its outputs.
+
+    An entry fetches missing versions from schedulers, not from the store.
+    """
     for output in state.config_filter(message, time.monotonic()):
         match output:
             case config_module.ConfigAdopted():
--- a/chestnuttide/entry/_forwarding.py
+++ b/chestnuttide/entry/_forwarding.py
@@ -1,7 +1,7 @@
-"""Forwarding of calls to the owners of shards, until their deadlines.
+"""Forwards calls to the owners of shards and retries until the deadline.
 
-A call that may have reached an owner whose connection ended is sent again to
-the shard's next owner with the same id. The ledger there decides whether a
+A call that may have reached an owner whose connection closed is resent with
+the same id to the shard's new owner. The new owner's ledger decides whether a
 non-idempotent request may still run.
 """
 
@@ -21,26 +21,26 @@
 from chestnuttide import routing
 from chestnuttide import telemetry
 
-# The owner answers at the deadline; its answer needs this long to get here.
+# The owner replies by the deadline; the reply may arrive this much later.
 REPLY_MARGIN_S = 0.25
-# Pause before a shard is tried again whose owner has refused or is unknown;
-# a new owner ends the pause.
-OWNER_PAUSE_S = 0.1
-# Calls about jobs and config end after this time.
+# Delay before a retry to a shard whose owner refused or is unknown; a change
+# of owner ends the delay early.
+RETRY_DELAY_S = 0.1
+# Timeout of all calls to a shard except forwarded requests.
 CALL_TIMEOUT_S = 10.0
 
-# Former owners are asked for an answer for this long.
-FORMER_TIMEOUT_S = 1.0
+# Timeout of reading a response from the former owners of a shard.
+FORMER_OWNER_TIMEOUT_S = 1.0
 
-# States of a request in the ledger that tell of no dispatch under way.
-_ENDED = frozenset(
+# States of a request in the ledger in which no dispatch is in progress.
+_SETTLED_STATES = frozenset(
     (
         coordination.RequestState.ANSWERED.value,
         coordination.RequestState.OUTCOME_UNKNOWN.value,
     )
 )
 
-_ELSEWHERE = frozenset(
+_NOT_OWNER_REASONS = frozenset(
     (errors.Reason.NOT_OWNER.value, errors.Reason.LEASE_LOST.value)
 )
 
@@ -48,7 +48,7 @@
 async def forward_request(
     state: _state.EntryState, request: model.Request, shard: str
 ) -> mesh.RequestReply:
-    """Return the owner's reply to a request, or a refusal in its form.
+    """Return the owner's reply to a request, or a refusal in its place.
 
     Parameters
     ----------
@@ -57,31 +57,31 @@
     request : Request
         The request.
     shard : str
-        Shard that decides about it.
+        Shard responsible for the request.
     """
     maybe_sent = False
     while True:
-        left_s = request.deadline - time.monotonic()
-        if left_s <= 0:
-            return _refuse(
+        remaining_s = request.deadline - time.monotonic()
+        if remaining_s <= 0:
+            return _make_refusal(
                 request,
                 errors.Reason.DEADLINE_EXCEEDED,
-                f"Shard {shard} gave no answer in time.",
+                f"Shard {shard} did not answer in time.",
                 maybe_sent,
             )
-        owner = _owners.owner_of(state.owners, shard)
+        owner = _owners.find_owner(state.owners, shard)
         if owner is None:
             telemetry.count_retry(state.metrics, errors.RetryReason.NO_OWNER)
             await _owners.wait_for_change(
-                state.owners, min(left_s, OWNER_PAUSE_S)
+                state.owners, min(remaining_s, RETRY_DELAY_S)
             )
             continue
         try:
             reply = await _call_owner(
-                state, owner, request, shard, left_s, maybe_sent
+                state, owner, request, shard, remaining_s, maybe_sent
             )
         except _QueueFullError:
-            return _refuse(
+            return _make_refusal(
                 request,
                 errors.Reason.MESH_QUEUE_FULL,
                 f"The mesh queue to {owner.peer.sender} is full.",
@@ -96,12 +96,12 @@
         except TimeoutError:
             maybe_sent = True
             continue
-        if reply.reason in _ELSEWHERE:
+        if reply.reason in _NOT_OWNER_REASONS:
             if reply.run_state != errors.RunState.NOT_RUN.value:
                 maybe_sent = True
             telemetry.count_retry(state.metrics, errors.RetryReason.NOT_OWNER)
             await _owners.wait_for_change(
-                state.owners, min(left_s, OWNER_PAUSE_S)
+                state.owners, min(remaining_s, RETRY_DELAY_S)
             )
             continue
         return _correct_run_state(request, reply, maybe_sent)
@@ -112,7 +112,7 @@
     shard: str,
     make_message: collections.abc.Callable[[int], object],
 ) -> mesh.Reply | mesh.RequestReply:
-    """Return the reply of a shard's owner to a call that may be repeated.
+    """Return the reply of a shard's owner to a call that is safe to repeat.
 
     Parameters
     ----------
@@ -121,7 +121,7 @@
     shard : str
         The shard.
     make_message : function
-        Returns the message for a call number.
+        Returns the message for a call id.
 
     Raises
     ------
@@ -130,21 +130,21 @@
     """
     deadline = time.monotonic() + CALL_TIMEOUT_S
     while True:
-        left_s = deadline - time.monotonic()
-        if left_s <= 0:
+        remaining_s = deadline - time.monotonic()
+        if remaining_s <= 0:
             raise errors.RefusedError(
                 reason=errors.Reason.NO_OWNER,
-                message=f"No owner of shard {shard} has answered.",
-                remedy="Read the state of your call, then try again.",
+                message=f"No owner of shard {shard} answered in time.",
+                remedy="Check the state of your call before you try again.",
                 run_state=errors.RunState.UNKNOWN,
             )
-        owner = _owners.owner_of(state.owners, shard)
+        owner = _owners.find_owner(state.owners, shard)
         reply = None
         if owner is not None:
             if mesh.is_full(owner):
-                raise _mesh_queue_full(owner)
-            reply = await try_call(state, owner, make_message, left_s)
-        if reply is not None and reply.reason not in _ELSEWHERE:
+                raise _queue_full_refusal(owner)
+            reply = await try_call(state, owner, make_message, remaining_s)
+        if reply is not None and reply.reason not in _NOT_OWNER_REASONS:
             return reply
         telemetry.count_retry(
             state.metrics,
@@ -152,25 +152,28 @@
             if owner is None
             else errors.RetryReason.NOT_OWNER,
         )
-        await _owners.wait_for_change(state.owners, min(left_s, OWNER_PAUSE_S))
+        await _owners.wait_for_change(
+            state.owners, min(remaining_s, RETRY_DELAY_S)
+        )
 
 
 async def read_answer(
     state: _state.EntryState, shard: str, request_id: str
 ) -> mesh.Reply | mesh.RequestReply:
-    """Return the kept answer of a request, or what is known about it.
+    """Return the stored response of a request, or else its state.
 
-    The owner is asked first. If it only knows that the request may have run,
-    the answer may be at a former owner, which finishes what it had sent.
+    The owner is queried first. If it has no response and no dispatch in
+    progress, a former owner may have the response, because former owners
+    complete the requests that they dispatched.
 
     Parameters
     ----------
     state : EntryState
         The daemon's state.
     shard : str
-        Shard that decides about the request.
+        Shard responsible for the request.
     request_id : str
-        The caller's id.
+        Request id that the caller chose.
 
     Raises
     ------
@@ -189,13 +192,13 @@
     reply = await call_shard(state, shard, make_message)
     if isinstance(reply, mesh.RequestReply) or reply.reason:
         return reply
-    if json.loads(reply.body)["state"] not in _ENDED:
+    if json.loads(reply.body)["state"] not in _SETTLED_STATES:
         return reply
     others = await asyncio.gather(
         *(
-            try_call(state, each, make_message, FORMER_TIMEOUT_S)
+            try_call(state, each, make_message, FORMER_OWNER_TIMEOUT_S)
             for each in mesh.schedulers(state.network)
-            if each is not _owners.owner_of(state.owners, shard)
+            if each is not _owners.find_owner(state.owners, shard)
         )
     )
     for other in others:
@@ -204,7 +207,7 @@
     for other in others:
         if other is None or other.reason:
             continue
-        if json.loads(other.body)["state"] not in _ENDED:
+        if json.loads(other.body)["state"] not in _SETTLED_STATES:
             return other
     return reply
 
@@ -215,7 +218,7 @@
     make_message: collections.abc.Callable[[int], object],
     timeout_s: float,
 ) -> mesh.Reply | mesh.RequestReply | None:
-    """Return the reply to one call, or None if there was none."""
+    """Make one call and return its reply, or None if there was none."""
     call_id, future = mesh.open_call(state.calls, connection)
     try:
         mesh.send(connection, make_message(call_id))
@@ -227,7 +230,7 @@
         mesh.close_call(state.calls, call_id)
 
 
-def _mesh_queue_full(connection: mesh.Connection) -> errors.RefusedError:
+def _queue_full_refusal(connection: mesh.Connection) -> errors.RefusedError:
     return errors.RefusedError(
         reason=errors.Reason.MESH_QUEUE_FULL,
         message=f"The mesh queue to {connection.peer.sender} is full.",
@@ -236,7 +239,7 @@
 
 
 class _QueueFullError(Exception):
-    """The send queue to the owner is full; nothing was sent."""
+    """The send queue to the owner is full, so nothing was sent."""
 
 
 async def _call_owner(
@@ -244,7 +247,7 @@
     owner: mesh.Connection,
     request: model.Request,
     shard: str,
-    left_s: float,
+    remaining_s: float,
     resend: bool,
 ) -> mesh.RequestReply:
     call_id, future = mesh.open_call(state.calls, owner)
@@ -256,7 +259,7 @@
         team=request.team,
         urgent=request.urgent,
         idempotent=request.idempotent,
-        timeout_s=left_s,
+        timeout_s=remaining_s,
         payload=request.payload,
         resend=resend,
     )
@@ -265,7 +268,7 @@
             mesh.send(owner, message)
         except errors.MeshError as error:
             raise _QueueFullError from error
-        async with asyncio.timeout(left_s + REPLY_MARGIN_S):
+        async with asyncio.timeout(remaining_s + REPLY_MARGIN_S):
             return await future
     except asyncio.CancelledError:
         mesh.send_if_possible(owner, mesh.RequestCancel(call_id=call_id))
@@ -274,16 +277,18 @@
         mesh.close_call(state.calls, call_id)
 
 
-def _refuse(
+def _make_refusal(
     request: model.Request,
     reason: errors.Reason,
     message: str,
     maybe_sent: bool,
 ) -> mesh.RequestReply:
-    # The caller may have sent a non-idempotent id before, through an entry
-    # that has died; only the ledger of an owner knows.
-    open_ = maybe_sent or not request.idempotent
-    run_state = errors.RunState.UNKNOWN if open_ else errors.RunState.NOT_RUN
+    # The caller may already have sent a non-idempotent request with this id
+    # through an entry that has failed; only the owner's ledger knows.
+    may_have_run = maybe_sent or not request.idempotent
+    run_state = (
+        errors.RunState.UNKNOWN if may_have_run else errors.RunState.NOT_RUN
+    )
     error = routing.make_error(reason, message, run_state=run_state)
     return mesh.RequestReply(
         call_id=0,
@@ -300,9 +305,9 @@
 def _correct_run_state(
     request: model.Request, reply: mesh.RequestReply, maybe_sent: bool
 ) -> mesh.RequestReply:
-    """Withdraw "not run" for a request that a former owner may have sent.
+    """Replace "not run" by "unknown" if a former owner may have dispatched it.
 
-    Only the ledger knows better, and it holds no idempotent requests.
+    The ledger could rule that out, but it records no idempotent requests.
     """
     if (
         not maybe_sent
--- a/chestnuttide/entry/_handlers.py
+++ b/chestnuttide/entry/_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for callers and operators."""
+"""HTTP request handlers for callers and operators."""
 
 import asyncio
 import collections.abc
@@ -18,26 +18,28 @@
 from chestnuttide import routing
 from chestnuttide import telemetry
 
-# Seconds that a scheduler may take to tell its status.
+# Timeout of a scheduler call that reads its status or the configuration, or
+# starts a drain.
 STATUS_TIMEOUT_S = 2.0
-# Seconds that a patch may take, store outages and races included.
+# Timeout of a configuration patch; allows for store outages and conflicting
+# patches.
 PATCH_TIMEOUT_S = 10.0
 
 
 @tornado.web.stream_request_body
 class BaseHandler(tornado.web.RequestHandler):
-    """Answers refusals and keeps count of calls in flight.
+    """Base handler that sends refusals and counts the calls in flight.
 
-    A call is in flight from its headers until its answer is written, so that
-    a planned stop cuts off neither a body nor an answer that is under way.
-    Bodies are streamed for the same reason, and because tornado would answer
-    too large ones without a code.
+    A call is in flight from its headers until its response is written, so that
+    a graceful stop interrupts neither a body nor a response in transfer.
+    Bodies are streamed for the same reason, and because tornado would refuse
+    oversized ones without an error code.
     """
 
     state: _state.EntryState
 
     def initialize(self, state: _state.EntryState) -> None:
-        """Take the daemon's state; called by tornado."""
+        """Store the daemon's state; called by tornado."""
         self.state = state
         self._task: asyncio.Task | None = None
         self._in_flight = False
@@ -45,7 +47,7 @@
         self._body_bytes = 0
 
     def prepare(self) -> None:
-        """Count the call; called by tornado after the headers."""
+        """Count the call as in flight; called by tornado after the headers."""
         self._in_flight = True
         self.state.in_flight += 1
         self._started = time.monotonic()
@@ -53,7 +55,7 @@
             self.set_header("Connection", "close")
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body, if it is not too large."""
+        """Append a chunk to the body unless the body is too large."""
         self._body_bytes += len(chunk)
         if self._body_bytes <= self.state.settings.entry.max_body_bytes:
             self._chunks.append(chunk)
@@ -61,7 +63,7 @@
             self._chunks.clear()
 
     def read_body(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
         Raises
         ------
@@ -79,44 +81,44 @@
     def finish(
         self, chunk: str | bytes | dict | None = None
     ) -> asyncio.Future[None]:
-        """Send the answer; called by handlers and by tornado."""
+        """Send the response; called by handlers and by tornado."""
         written = super().finish(chunk)
-        written.add_done_callback(lambda _: self._end())
+        written.add_done_callback(lambda _: self._end_call())
         return written
 
     def on_connection_close(self) -> None:
-        """Count the end of a call whose caller is gone."""
+        """End a call whose caller disconnected; called by tornado."""
         super().on_connection_close()
-        self._end()
+        self._end_call()
 
-    def _end(self) -> None:
+    def _end_call(self) -> None:
         if self._in_flight:
             self._in_flight = False
             self.state.in_flight -= 1
 
     def write_error(self, status_code: int, **kwargs: typing.Any) -> None:
-        """Answer an exception as a refusal; called by tornado."""
+        """Send an exception as a refusal; called by tornado."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if not isinstance(error, errors.RefusedError):
-            error = _as_refusal(status_code, error)
+            error = _to_refusal(status_code, error)
         self.refuse(error)
 
     def refuse(self, error: errors.RefusedError) -> None:
-        """Answer and count a refusal."""
+        """Send and count a refusal."""
         telemetry.count_refusal(self.state.metrics, error.reason)
         self.set_status(errors.HTTP_STATUS[error.reason])
         self.set_header("Content-Type", routing.JSON_TYPE)
         self.finish(routing.encode_error(error))
 
     def log_exception(self, *args: typing.Any) -> None:
-        """Leave refusals out of the log; they are counted."""
+        """Log exceptions other than refusals, which are only counted."""
         if not isinstance(args[1], errors.RefusedError):
             super().log_exception(*args)
 
     def answer_reply(self, reply: mesh.Reply | None) -> None:
-        """Answer with a scheduler's reply."""
+        """Send a scheduler's reply to the caller."""
         if reply is None:
-            raise no_scheduler()
+            raise make_no_scheduler_error()
         if reply.reason:
             telemetry.count_refusal(
                 self.state.metrics, errors.Reason(reply.reason)
@@ -126,7 +128,7 @@
         self.finish(reply.body)
 
     def answer_request(self, reply: mesh.RequestReply) -> None:
-        """Answer with a target's answer or the refusal of a request."""
+        """Send a target's response or a refusal of the request."""
         self.set_status(reply.status)
         self.set_header("Content-Type", reply.content_type)
         self.set_header("X-Request-Id", reply.request_id)
@@ -135,16 +137,16 @@
         self.finish(reply.body)
 
     def answer_json(self, document: object) -> None:
-        """Answer with a JSON document."""
+        """Send a JSON document."""
         self.set_header("Content-Type", routing.JSON_TYPE)
         self.finish(json.dumps(document))
 
 
 class RequestsHandler(BaseHandler):
-    """Takes a caller's request to a service."""
+    """Accepts requests to a service."""
 
     async def post(self, service: str) -> None:
-        """Answer with the target's whole answer, or a refusal."""
+        """Forward a request and send the target's response or a refusal."""
         request = _parsing.parse_request(
             service,
             self.read_body(),
@@ -170,17 +172,17 @@
         self.answer_request(reply)
 
     def on_connection_close(self) -> None:
-        """Give up the call when its caller is gone; called by tornado."""
+        """Cancel the call of a caller that disconnected; called by tornado."""
         super().on_connection_close()
         if self._task is not None:
             self._task.cancel()
 
 
 class RequestHandler(BaseHandler):
-    """Tells the state of a non-idempotent request."""
+    """Reads the state of a non-idempotent request."""
 
     async def get(self, service: str, request_id: str) -> None:
-        """Answer with the state as the shard's owner knows it."""
+        """Send the state that the shard's owner has recorded."""
         shard = _request_shard(self.state, service, request_id)
         self.answer_reply(
             await _forwarding.call_shard(
@@ -194,10 +196,10 @@
 
 
 class AnswerHandler(BaseHandler):
-    """Gives the answer of a non-idempotent request once more."""
+    """Reads the stored response of a non-idempotent request."""
 
     async def get(self, service: str, request_id: str) -> None:
-        """Answer with the target's answer if an owner still has it."""
+        """Send the target's response if an owner still has it."""
         reply = await _forwarding.read_answer(
             self.state,
             _request_shard(self.state, service, request_id),
@@ -210,14 +212,14 @@
 
 
 class JobsHandler(BaseHandler):
-    """Takes and lists jobs."""
+    """Submits and lists jobs."""
 
     async def post(self) -> None:
         """Submit a job to the owner of its pool."""
         job = _parsing.parse_job(self.read_body())
         shard = _pool_shard(self.state, job.job_id)
         need = job.resources
-        resent = False
+        maybe_sent = False
 
         def make_message(call_id: int) -> mesh.JobSubmit:
             return mesh.JobSubmit(
@@ -235,17 +237,17 @@
                 declared_run_s=job.declared_run_s,
                 wait_limit_s=job.wait_limit_s,
                 payload=job.payload,
-                resend=resent,
+                resend=maybe_sent,
             )
 
-        def make_next(call_id: int) -> mesh.JobSubmit:
-            nonlocal resent
+        def make_attempt(call_id: int) -> mesh.JobSubmit:
+            nonlocal maybe_sent
             message = make_message(call_id)
-            resent = True
+            maybe_sent = True
             return message
 
         self.answer_reply(
-            await _forwarding.call_shard(self.state, shard, make_next)
+            await _forwarding.call_shard(self.state, shard, make_attempt)
         )
 
     async def get(self) -> None:
@@ -274,7 +276,7 @@
     """Reads and cancels one job."""
 
     async def get(self, job_id: str) -> None:
-        """Answer with the job's state."""
+        """Send the state of the job."""
         shard = _pool_shard(self.state, job_id)
         self.answer_reply(
             await _forwarding.call_shard(
@@ -297,21 +299,21 @@
 
 
 class ConfigHandler(BaseHandler):
-    """Reads the config."""
+    """Reads the configuration."""
 
     async def get(self) -> None:
-        """Answer with the document at a version, or the one in force."""
+        """Send the requested version, or by default the one in force."""
         argument = self.get_query_argument("version", "-1")
         try:
             version = int(argument)
         except ValueError:
             raise errors.RefusedError(
                 reason=errors.Reason.INVALID_VALUE,
-                message="version is no number.",
+                message="version is not an integer.",
                 remedy="Give the number of a version.",
             ) from None
         self.answer_reply(
-            await _call_any(
+            await _call_any_scheduler(
                 self.state,
                 lambda call_id: mesh.ConfigRead(
                     call_id=call_id, version=version, history=False
@@ -322,12 +324,12 @@
 
 
 class HistoryHandler(BaseHandler):
-    """Reads the config's history."""
+    """Reads the history of the configuration."""
 
     async def get(self) -> None:
-        """Answer with the kept versions, newest last."""
+        """Send the stored versions, newest last."""
         self.answer_reply(
-            await _call_any(
+            await _call_any_scheduler(
                 self.state,
                 lambda call_id: mesh.ConfigRead(
                     call_id=call_id, version=-1, history=True
@@ -338,14 +340,14 @@
 
 
 class PatchesHandler(BaseHandler):
-    """Takes config patches."""
+    """Accepts configuration patches."""
 
     async def post(self) -> None:
-        """Answer with the new version, or a refusal."""
+        """Submit a patch and send the new version or a refusal."""
         body = _parsing.parse_patch(self.read_body())
         write_id = uuid.uuid4().hex
         self.answer_reply(
-            await _call_any(
+            await _call_any_scheduler(
                 self.state,
                 lambda call_id: mesh.PatchSubmit(
                     call_id=call_id,
@@ -360,10 +362,10 @@
 
 
 class StatusHandler(BaseHandler):
-    """Tells the cell's status."""
+    """Reads the status of the cell."""
 
     async def get(self) -> None:
-        """Answer with what all connected schedulers tell."""
+        """Send the merged status of all connected schedulers."""
         replies = await asyncio.gather(
             *(
                 _forwarding.try_call(
@@ -391,10 +393,10 @@
 
 
 class DrainHandler(BaseHandler):
-    """Begins the graceful stop of an instance's scheduler."""
+    """Starts the graceful stop of an instance's scheduler."""
 
     async def post(self, instance_id: str) -> None:
-        """Answer once the scheduler has begun to hand over its shards."""
+        """Respond once the scheduler has started to hand over its shards."""
         connection = self.state.network.connections.get(
             ("scheduler", instance_id)
         )
@@ -415,18 +417,18 @@
 
 
 class HealthHandler(BaseHandler):
-    """Tells that the process answers."""
+    """Reports that the process is alive."""
 
     def get(self) -> None:
-        """Answer 200."""
+        """Respond with 200."""
         self.answer_json({"healthy": True})
 
 
 class ReadyHandler(BaseHandler):
-    """Tells the balancer whether to send calls here."""
+    """Reports readiness to the load balancer."""
 
     def get(self) -> None:
-        """Answer 200 if ready, else 503."""
+        """Respond with 200 if ready, otherwise 503."""
         ready = _state.is_ready(self.state)
         self.set_status(200 if ready else 503)
         self.answer_json(
@@ -438,10 +440,10 @@
 
 
 class UnknownPathHandler(BaseHandler):
-    """Refuses all other paths."""
+    """Refuses calls to unknown paths."""
 
     def get(self) -> None:
-        """Refuse, whatever the method."""
+        """Refuse the call, whatever its method."""
         raise errors.RefusedError(
             reason=errors.Reason.MALFORMED,
             message=f"There is no path {self.request.path[:256]}.",
@@ -451,22 +453,22 @@
     post = put = patch = delete = get
 
 
-def no_scheduler() -> errors.RefusedError:
+def make_no_scheduler_error() -> errors.RefusedError:
     """Return the refusal of a call that no scheduler answered."""
     return errors.RefusedError(
         reason=errors.Reason.NO_OWNER,
-        message="No scheduler has answered.",
-        remedy="Read the state of your call, then try again.",
+        message="No scheduler answered the call.",
+        remedy="Check the state of your call before you try again.",
         run_state=errors.RunState.UNKNOWN,
     )
 
 
-async def _call_any(
+async def _call_any_scheduler(
     state: _state.EntryState,
     make_message: collections.abc.Callable[[int], object],
     timeout_s: float,
 ) -> mesh.Reply | None:
-    """Call this instance's scheduler, or else the others in turn."""
+    """Call this instance's scheduler first, then the others in turn."""
     local = state.settings.instance_id
     connections = sorted(
         mesh.schedulers(state.network),
@@ -507,18 +509,18 @@
     return model.pool_shard(_parsing.parse_id(job_id, "id"), pools)
 
 
-def _as_refusal(
+def _to_refusal(
     status_code: int, error: BaseException | None
 ) -> errors.RefusedError:
     if status_code < 500:
         return errors.RefusedError(
             reason=errors.Reason.MALFORMED,
-            message=f"The call was not understood: {error}.",
+            message=f"The call is invalid: {error}.",
             remedy="See the interfaces in docs/design.md.",
         )
     return errors.RefusedError(
         reason=errors.Reason.INTERNAL,
-        message="The entry failed while answering.",
-        remedy="Read the state of your call, and report the log line.",
+        message="The entry failed to handle the call.",
+        remedy="Check the state of your call, and report the log line.",
         run_state=errors.RunState.UNKNOWN,
     )
--- a/chestnuttide/entry/_owners.py
+++ b/chestnuttide/entry/_owners.py
@@ -1,4 +1,4 @@
-"""Which scheduler owns which shard, as the schedulers tell it."""
+"""Tracks which scheduler owns each shard, as reported by the schedulers."""
 
 import asyncio
 
@@ -9,16 +9,17 @@
 
 @attrs.define(kw_only=True, slots=True)
 class Owners:
-    """Owners of shards.
+    """Known owners of the shards.
 
     Attributes
     ----------
     by_shard : dict of str to (int, Connection)
-        Epoch and connection of the owner.
+        Epoch and connection of the owner, by shard.
     draining : set of str
-        Instance ids of schedulers that are about to stop.
+        Instance ids of schedulers that are draining.
     changed : asyncio.Event
-        Replaced and set on each change, so that all waiters wake once.
+        Set on each change and replaced by a new event, so that every waiter
+        wakes once.
     """
 
     by_shard: dict[str, tuple[int, mesh.Connection]] = attrs.field(
@@ -28,25 +29,26 @@
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
 
-def take_owned(
+def update_owned_shards(
     owners: Owners, connection: mesh.Connection, message: mesh.OwnedShards
 ) -> list[mesh.Connection]:
-    """Take over the complete list of shards that a scheduler owns.
+    """Update the owners from a scheduler's complete list of owned shards.
 
-    A higher epoch wins, because a former owner that has not noticed its end
-    may still name the shard.
+    The higher epoch wins, because a former owner that has not yet noticed
+    that it lost a shard may still list it.
 
     Returns
     -------
     list of Connection
-        Connections to former owners that still named a shard of the list.
+        Connections to other schedulers that were the known owners of a shard
+        in the list.
     """
     former = []
-    told = dict(message.shards)
+    reported = dict(message.shards)
     for shard, (_, owner) in list(owners.by_shard.items()):
-        if owner is connection and shard not in told:
+        if owner is connection and shard not in reported:
             del owners.by_shard[shard]
-    for shard, epoch in told.items():
+    for shard, epoch in reported.items():
         known = owners.by_shard.get(shard)
         if known is None or epoch >= known[0]:
             if known is not None and known[1] is not connection:
@@ -61,23 +63,23 @@
 
 
 def drop_connection(owners: Owners, connection: mesh.Connection) -> None:
-    """Forget what a scheduler owned whose connection has ended."""
+    """Remove the shards of a scheduler whose connection has closed."""
     for shard, (_, owner) in list(owners.by_shard.items()):
         if owner is connection:
             del owners.by_shard[shard]
-    # A drained scheduler stays marked until it is started again, so that the
-    # entry beside it does not become ready once more.
+    # A drained scheduler stays marked as draining until it restarts, so that
+    # the entry on its instance does not become ready again.
     _notify(owners)
 
 
-def owner_of(owners: Owners, shard: str) -> mesh.Connection | None:
-    """Return the connection to a shard's owner, if it is known."""
+def find_owner(owners: Owners, shard: str) -> mesh.Connection | None:
+    """Return the connection to a shard's owner, or None if unknown."""
     known = owners.by_shard.get(shard)
     return None if known is None else known[1]
 
 
 async def wait_for_change(owners: Owners, timeout_s: float) -> None:
-    """Wait until an owner changes, at most `timeout_s` seconds."""
+    """Wait up to `timeout_s` seconds for an ownership change."""
     event = owners.changed
     try:
         async with asyncio.timeout(timeout_s):
--- a/chestnuttide/entry/_parsing.py
+++ b/chestnuttide/entry/_parsing.py
@@ -1,6 +1,6 @@
-"""Checks of what callers and operators send.
+"""Parses and validates the bodies that callers and operators send.
 
-All functions are pure and raise `errors.RefusedError` with a remedy, before
+All functions are pure. They raise `errors.RefusedError` with a remedy before
 anything is sent to a scheduler.
 """
 
@@ -15,27 +15,27 @@
 
 # Ids become parts of keys and of header lines.
 MAX_ID_CHARACTERS = 128
-# Longest time that a caller may wait, in seconds.
+# Longest time until the deadline of a request; later ones are shortened.
 MAX_TIMEOUT_S = 3600.0
-# Most tasks of one job; a pool's queue holds no more.
+# Maximum number of tasks in a job; the queue of a pool holds no more.
 MAX_TASKS = 100_000
-# Largest amount of one dimension; larger ones are surely a mistake.
+# Maximum amount of a resource; larger amounts are certainly mistakes.
 MAX_AMOUNT = 10**9
 MAX_RUN_S = 10.0**8
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class PatchBody:
-    """A config patch as an operator sent it.
+    """A configuration patch as sent by an operator.
 
     Attributes
     ----------
     base : int
-        Version that it was made against.
+        Configuration version that the patch is based on.
     patch : dict
         JSON merge patch.
     author : str
-        Who submits it.
+        Author of the patch.
     """
 
     base: int
@@ -44,14 +44,14 @@
 
 
 def parse_object(body: bytes, allowed: frozenset[str]) -> dict[str, object]:
-    """Return the JSON object in a body.
+    """Parse a body that must be a JSON object.
 
     Parameters
     ----------
     body : bytes
         The body.
     allowed : frozenset of str
-        Names of the fields that it may have.
+        Names of the allowed fields.
 
     Raises
     ------
@@ -63,19 +63,19 @@
     except (ValueError, RecursionError) as error:
         raise _refusal(
             errors.Reason.MALFORMED,
-            f"The body is no JSON: {error}.",
+            f"The body is not valid JSON: {error}.",
             "Send one JSON object.",
         ) from error
     if not isinstance(document, dict):
         raise _refusal(
             errors.Reason.MALFORMED,
-            "The body is no JSON object.",
+            "The body is not a JSON object.",
             "Send one JSON object.",
         )
     for name in document:
         if name not in allowed:
-            near = difflib.get_close_matches(name, allowed, n=1)
-            hint = f"Use {near[0]}." if near else "Leave it out."
+            matches = difflib.get_close_matches(name, allowed, n=1)
+            hint = f"Use {matches[0]}." if matches else "Leave it out."
             raise _refusal(
                 errors.Reason.UNKNOWN_FIELD,
                 f"There is no field {name[:MAX_ID_CHARACTERS]}.",
@@ -99,7 +99,7 @@
 def parse_request(
     service: str, body: bytes, *, wall_now: float, now: float
 ) -> model.Request:
-    """Return the request in a body.
+    """Parse a request.
 
     Parameters
     ----------
@@ -108,14 +108,15 @@
     body : bytes
         The JSON body.
     wall_now : float
-        Seconds since the epoch, against which the deadline is checked.
+        Current time in seconds since the epoch, against which the deadline is
+        checked.
     now : float
-        Monotonic time in seconds.
+        Current monotonic time in seconds.
 
     Raises
     ------
     errors.RefusedError
-        With the first fault found.
+        With the first error found.
     """
     document = parse_object(body, REQUEST_FIELDS)
     deadline_ms = _number(document, "deadline_unix_ms", 0, 10.0**14)
@@ -123,15 +124,15 @@
     if timeout_s <= 0:
         raise _refusal(
             errors.Reason.DEADLINE_EXCEEDED,
-            "deadline_unix_ms lies in the past.",
+            "deadline_unix_ms is in the past.",
             "Give a time in the future, in ms since the epoch.",
         )
     return model.Request(
         request_id=parse_id(document.get("id"), "id"),
         service=service,
         team=parse_id(document.get("team"), "team"),
-        urgent=_flag(document, "urgent", False),
-        idempotent=_flag(document, "idempotent", False),
+        urgent=_boolean(document, "urgent", False),
+        idempotent=_boolean(document, "idempotent", False),
         deadline=now + min(timeout_s, MAX_TIMEOUT_S),
         payload=json.dumps(document.get("payload")).encode(),
     )
@@ -155,27 +156,27 @@
 
 
 def parse_job(body: bytes) -> model.Job:
-    """Return the job in a body.
+    """Parse a job.
 
     Raises
     ------
     errors.RefusedError
-        With the first fault found.
+        With the first error found.
     """
     document = parse_object(body, JOB_FIELDS)
     kind = document.get("kind")
     if kind not in tuple(model.JobKind):
         raise _refusal(
             errors.Reason.INVALID_VALUE,
-            "kind is not known.",
+            "kind is unknown.",
             f"Use one of {', '.join(model.JobKind)}.",
         )
     payload = document.get("payload", {})
     if not isinstance(payload, dict):
         raise _refusal(
             errors.Reason.INVALID_VALUE,
-            "payload is no JSON object.",
-            "Give the object that the worker agent is to run.",
+            "payload is not a JSON object.",
+            "Give the JSON object that the worker agent runs.",
         )
     return model.Job(
         job_id=parse_id(document.get("id"), "id"),
@@ -186,7 +187,7 @@
         ),
         tasks=_integer(document, "tasks", 1, MAX_TASKS, default=1),
         resources=_resources(document.get("resources")),
-        urgent=_flag(document, "urgent", False),
+        urgent=_boolean(document, "urgent", False),
         declared_run_s=_number(
             document, "declared_run_s", 0, MAX_RUN_S, default=0.0
         ),
@@ -201,26 +202,26 @@
 
 
 def parse_patch(body: bytes) -> PatchBody:
-    """Return the config patch in a body.
+    """Parse a configuration patch.
 
     Raises
     ------
     errors.RefusedError
-        With the first fault found.
+        With the first error found.
     """
     document = parse_object(body, PATCH_FIELDS)
     patch = document.get("patch")
     if not isinstance(patch, dict):
         raise _refusal(
             errors.Reason.INVALID_VALUE,
-            "patch is no JSON object.",
+            "patch is not a JSON object.",
             "Give a JSON merge patch (RFC 7396).",
         )
     author = document.get("author", "")
     if not isinstance(author, str) or len(author) > MAX_ID_CHARACTERS:
         raise _refusal(
             errors.Reason.INVALID_VALUE,
-            "author is no short text.",
+            "author is not a string or is too long.",
             f"Give at most {MAX_ID_CHARACTERS} characters.",
         )
     return PatchBody(
@@ -229,7 +230,7 @@
 
 
 def parse_id(value: object, name: str) -> str:
-    """Return a checked id or name.
+    """Return an id or name after validation.
 
     Raises
     ------
@@ -245,7 +246,7 @@
     ):
         raise _refusal(
             errors.Reason.INVALID_VALUE,
-            f"{name} is missing or not usable.",
+            f"{name} is missing or invalid.",
             f"Give 1 to {MAX_ID_CHARACTERS} printable ASCII characters"
             " without a slash.",
         )
@@ -256,7 +257,7 @@
     if not isinstance(value, dict) or not value:
         raise _refusal(
             errors.Reason.INVALID_VALUE,
-            "resources is missing or no JSON object.",
+            "resources is missing or not a JSON object.",
             "Give cpu_millis, memory_mb and accelerators.",
         )
     for name in value:
@@ -273,13 +274,13 @@
     if not any(amounts.values()):
         raise _refusal(
             errors.Reason.INVALID_VALUE,
-            "resources asks for nothing.",
+            "resources requests nothing.",
             "Give at least one amount above 0.",
         )
     return model.Resources(**amounts)
 
 
-def _flag(
+def _boolean(
     document: collections.abc.Mapping[str, object], name: str, default: bool
 ) -> bool:
     value = document.get(name, default)
--- a/chestnuttide/entry/_state.py
+++ b/chestnuttide/entry/_state.py
@@ -12,28 +12,28 @@
 
 @attrs.define(kw_only=True, slots=True, eq=False)
 class EntryState:
-    """Everything that the handlers share.
+    """State shared by the HTTP handlers and the background tasks.
 
     Attributes
     ----------
     settings : Settings
-        The instance's settings.
+        Settings of the instance.
     metrics : Metrics
-        The daemon's metrics.
+        Metrics of the daemon.
     network : Network
         Mesh connections to all schedulers.
     config_filter : Filter
-        Takes config versions into `config`.
+        Filter that updates `config` with new versions.
     config : ConfigState
-        The config in force.
+        The configuration in force.
     calls : Calls
-        Calls that wait for their replies.
+        Mesh calls that are awaiting a reply.
     owners : Owners
-        Owners of shards.
+        Known owners of the shards.
     in_flight : int
-        HTTP calls being answered.
+        Number of HTTP calls in flight.
     stopping : bool
-        Whether a planned stop has begun.
+        Whether a graceful stop has started.
     """
 
     settings: settings_module.Settings
@@ -48,7 +48,7 @@
 
 
 def is_ready(state: EntryState) -> bool:
-    """Return whether the balancer may send calls here."""
+    """Return whether the load balancer may route calls to this entry."""
     return (
         not state.stopping
         and state.config.history.version > 0
--- a/chestnuttide/entry/tests/test_forwarding.py
+++ b/chestnuttide/entry/tests/test_forwarding.py
@@ -29,8 +29,8 @@
 )
 
 
-class _Owner:
-    """A connection to an owner that acts as scripted, call by call."""
+class _ScriptedOwner:
+    """Stand-in for an owner that handles each call as scripted."""
 
     def __init__(self, script: list[str]) -> None:
         self.script = script
@@ -40,7 +40,9 @@
         )
 
 
-def _reply(call: mesh.RequestCall, reason: errors.Reason | None) -> object:
+def _make_reply(
+    call: mesh.RequestCall, reason: errors.Reason | None
+) -> object:
     if reason is None:
         return mesh.RequestReply(
             call_id=call.call_id,
@@ -65,63 +67,72 @@
     )
 
 
-def _act(state: object, owner: _Owner, call: mesh.RequestCall) -> None:
+def _run_step(
+    state: object, owner: _ScriptedOwner, call: mesh.RequestCall
+) -> None:
     owner.calls.append(call)
     step = owner.script.pop(0)
     match step:
-        case "answer":
-            mesh.resolve(state.calls, owner, _reply(call, None))
-        case "cut":
+        case "respond":
+            mesh.resolve(state.calls, owner, _make_reply(call, None))
+        case "disconnect":
             mesh.fail_connection(state.calls, owner)
-        case "silent":
+        case "no_reply":
             pass
         case _:
-            reply = _reply(call, errors.Reason(step))
+            reply = _make_reply(call, errors.Reason(step))
             mesh.resolve(state.calls, owner, reply)
 
 
 @pytest.mark.parametrize(
     ("idempotent", "script", "status", "run_state", "resends"),
     [
-        pytest.param(True, ["answer"], 200, "ran", [False], id="no_answer"),
+        pytest.param(
+            True, ["respond"], 200, "ran", [False], id="response_is_lost"
+        ),
         pytest.param(
             True,
-            ["not_owner", "answer"],
+            ["not_owner", "respond"],
             200,
             "ran",
             [False, False],
-            id="refusal_by_former_owner_reaches_caller",
+            id="refusal_of_former_owner_reaches_caller",
         ),
         pytest.param(
             True,
-            ["cut", "answer"],
+            ["disconnect", "respond"],
             200,
             "ran",
             [False, True],
-            id="cut_connection_loses_request",
+            id="request_is_lost_with_connection",
         ),
         pytest.param(
             True,
-            ["cut", "queue_full"],
+            ["disconnect", "queue_full"],
             503,
             "unknown",
             [False, True],
-            id="not_run_claimed_after_a_cut",
+            id="not_run_reported_after_disconnect",
         ),
         pytest.param(
             False,
-            ["cut", "queue_full"],
+            ["disconnect", "queue_full"],
             503,
             "not_run",
             [False, True],
-            id="ledger_knows_that_it_did_not_run",
+            id="not_run_of_ledger_is_replaced",
         ),
         pytest.param(
-            True, ["silent"], 504, "unknown", [False], id="silent_owner_hangs"
+            True,
+            ["no_reply"],
+            504,
+            "unknown",
+            [False],
+            id="unresponsive_owner_blocks_call",
         ),
     ],
 )
-def test_forwarding(
+def test_request_is_forwarded_to_owner(
     monkeypatch: pytest.MonkeyPatch,
     idempotent: bool,
     script: list[str],
@@ -129,18 +140,19 @@
     run_state: str,
     resends: list[bool],
 ) -> None:
-    monkeypatch.setattr(_forwarding, "OWNER_PAUSE_S", 0.01)
+    """Guards against lost requests and false claims of "not run"."""
+    monkeypatch.setattr(_forwarding, "RETRY_DELAY_S", 0.01)
     monkeypatch.setattr(_forwarding, "REPLY_MARGIN_S", 0.05)
-    owner = _Owner(list(script))
+    owner = _ScriptedOwner(list(script))
 
     async def scenario() -> mesh.RequestReply:
         state = _daemon.make_state(_SETTINGS)
         shards = mesh.OwnedShards(shards=(("s", 1),), draining=False)
-        _owners.take_owned(state.owners, owner, shards)
+        _owners.update_owned_shards(state.owners, owner, shards)
         loop = asyncio.get_running_loop()
 
         def send(connection: object, message: object) -> None:
-            loop.call_soon(_act, state, connection, message)
+            loop.call_soon(_run_step, state, connection, message)
 
         monkeypatch.setattr(mesh, "send", send)
         request = model.Request(
@@ -163,15 +175,15 @@
 @pytest.mark.parametrize(
     ("idempotent", "run_state"),
     [
-        pytest.param(True, "not_run", id="unsent_request_called_unknown"),
-        pytest.param(
-            False, "unknown", id="id_that_may_have_run_before_called_not_run"
-        ),
+        pytest.param(True, "not_run", id="unsent_request_reported_as_unknown"),
+        pytest.param(False, "unknown", id="earlier_run_reported_as_not_run"),
     ],
 )
 def test_request_without_owner_is_refused_at_its_deadline(
     idempotent: bool, run_state: str
 ) -> None:
+    """Guards against a refusal with a wrong run state."""
+
     async def scenario() -> mesh.RequestReply:
         state = _daemon.make_state(_SETTINGS)
         request = model.Request(
@@ -190,13 +202,15 @@
     assert reply.run_state == run_state
 
 
-def _state_reply(state: str) -> mesh.Reply:
+def _make_state_reply(state: str) -> mesh.Reply:
     body = json.dumps({"id": "r", "state": state, "status": 0}).encode()
     return mesh.Reply(call_id=1, status=200, reason="", body=body)
 
 
-_NOT_OWNER = mesh.Reply(call_id=1, status=503, reason="not_owner", body=b"{}")
-_ANSWER = mesh.RequestReply(
+_NOT_OWNER_REPLY = mesh.Reply(
+    call_id=1, status=503, reason="not_owner", body=b"{}"
+)
+_RESPONSE = mesh.RequestReply(
     call_id=1,
     request_id="r",
     status=200,
@@ -211,40 +225,44 @@
 @pytest.mark.parametrize(
     ("owner", "others", "expected"),
     [
-        pytest.param(_ANSWER, [], _ANSWER, id="owners_answer_is_lost"),
+        pytest.param(_RESPONSE, [], _RESPONSE, id="response_of_owner_is_lost"),
         pytest.param(
-            _state_reply("outcome_unknown"),
-            [_NOT_OWNER, _ANSWER],
-            _ANSWER,
-            id="former_owners_answer_is_lost",
+            _make_state_reply("outcome_unknown"),
+            [_NOT_OWNER_REPLY, _RESPONSE],
+            _RESPONSE,
+            id="response_of_former_owner_is_lost",
         ),
         pytest.param(
-            _state_reply("outcome_unknown"),
-            [None, _state_reply("sent")],
-            _state_reply("sent"),
-            id="unknown_though_it_is_still_running",
+            _make_state_reply("outcome_unknown"),
+            [None, _make_state_reply("sent")],
+            _make_state_reply("sent"),
+            id="running_request_reported_as_unknown",
         ),
         pytest.param(
-            _state_reply("answered"),
-            [_NOT_OWNER, None],
-            _state_reply("answered"),
-            id="state_lost_without_former_owner",
+            _make_state_reply("answered"),
+            [_NOT_OWNER_REPLY, None],
+            _make_state_reply("answered"),
+            id="state_is_lost_without_former_owner",
         ),
         pytest.param(
-            _state_reply("sent"),
-            [_ANSWER],
-            _state_reply("sent"),
-            id="former_owner_asked_while_the_owner_waits",
+            _make_state_reply("sent"),
+            [_RESPONSE],
+            _make_state_reply("sent"),
+            id="former_owner_replaces_state_of_owner",
         ),
     ],
 )
-def test_answer_is_read_from_a_former_owner(
+def test_response_is_read_from_former_owner(
     monkeypatch: pytest.MonkeyPatch,
     owner: object,
     others: list[object],
     expected: object,
 ) -> None:
-    """Guards a caller whose entry and whose shard's owner both changed."""
+    """Guards against a lost response after a change of entry and owner.
+
+    A caller that switches to another entry may read the response only after
+    the shard has a new owner; the former owner then holds the response.
+    """
 
     async def call_shard(*arguments: object) -> object:
         return owner
--- a/chestnuttide/mesh/_messages.py
+++ b/chestnuttide/mesh/_messages.py
@@ -15,7 +15,7 @@
     sender : str
         Instance id.
     kind : str
-        ``entry`` or ``scheduler``.
+        ``entry``, ``scheduler`` or ``node``.
     incarnation : str
         Id of this start of the daemon; each start has a new one.
     data_centre : str
