--- a/chestnuttide/entry/_daemon.py
+++ b/chestnuttide/entry/_daemon.py
@@ -20,6 +20,7 @@
 # Calls are still accepted for this long after a stop is requested, so that the
 # load balancer sees the readiness change first.
 READINESS_DELAY_S = 1.0
+# Interval at which a stop checks whether calls are still in flight.
 STOP_POLL_S = 0.05
 # A peer that has sent nothing for this many heartbeat intervals counts as
 # unresponsive.
--- a/chestnuttide/entry/_forwarding.py
+++ b/chestnuttide/entry/_forwarding.py
@@ -28,7 +28,6 @@
 RETRY_DELAY_S = 0.1
 # Timeout of all calls to a shard except forwarded requests.
 CALL_TIMEOUT_S = 10.0
-
 # Timeout of reading a response from the former owners of a shard.
 FORMER_OWNER_TIMEOUT_S = 1.0
 
@@ -40,6 +39,7 @@
     )
 )
 
+# Refusals after which the call is retried at the owner then known.
 _NOT_OWNER_REASONS = frozenset(
     (errors.Reason.NOT_OWNER.value, errors.Reason.LEASE_LOST.value)
 )
--- a/chestnuttide/entry/_parsing.py
+++ b/chestnuttide/entry/_parsing.py
@@ -13,9 +13,9 @@
 from chestnuttide import errors
 from chestnuttide import model
 
-# Ids become parts of keys and of header lines.
+# Ids become parts of store keys and of header lines.
 MAX_ID_CHARACTERS = 128
-# Longest time until the deadline of a request; later ones are shortened.
+# Maximum time until the deadline of a request; later deadlines are moved up.
 MAX_TIMEOUT_S = 3600.0
 # Maximum number of tasks in a job; the queue of a pool holds no more.
 MAX_TASKS = 100_000
@@ -61,13 +61,13 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.MALFORMED,
             f"The body is not valid JSON: {error}.",
             "Send one JSON object.",
         ) from error
     if not isinstance(document, dict):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.MALFORMED,
             "The body is not a JSON object.",
             "Send one JSON object.",
@@ -76,7 +76,7 @@
         if name not in allowed:
             matches = difflib.get_close_matches(name, allowed, n=1)
             hint = f"Use {matches[0]}." if matches else "Leave it out."
-            raise _refusal(
+            raise _make_refusal(
                 errors.Reason.UNKNOWN_FIELD,
                 f"There is no field {name[:MAX_ID_CHARACTERS]}.",
                 hint,
@@ -116,13 +116,13 @@
     Raises
     ------
     errors.RefusedError
-        With the first error found.
+        For the first error found.
     """
     document = parse_object(body, REQUEST_FIELDS)
-    deadline_ms = _number(document, "deadline_unix_ms", 0, 10.0**14)
+    deadline_ms = _read_number(document, "deadline_unix_ms", 0, 10.0**14)
     timeout_s = deadline_ms / 1000 - wall_now
     if timeout_s <= 0:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.DEADLINE_EXCEEDED,
             "deadline_unix_ms is in the past.",
             "Give a time in the future, in ms since the epoch.",
@@ -131,8 +131,8 @@
         request_id=parse_id(document.get("id"), "id"),
         service=service,
         team=parse_id(document.get("team"), "team"),
-        urgent=_boolean(document, "urgent", False),
-        idempotent=_boolean(document, "idempotent", False),
+        urgent=_read_boolean(document, "urgent", False),
+        idempotent=_read_boolean(document, "idempotent", False),
         deadline=now + min(timeout_s, MAX_TIMEOUT_S),
         payload=json.dumps(document.get("payload")).encode(),
     )
@@ -161,19 +161,19 @@
     Raises
     ------
     errors.RefusedError
-        With the first error found.
+        For the first error found.
     """
     document = parse_object(body, JOB_FIELDS)
     kind = document.get("kind")
     if kind not in tuple(model.JobKind):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             "kind is unknown.",
             f"Use one of {', '.join(model.JobKind)}.",
         )
     payload = document.get("payload", {})
     if not isinstance(payload, dict):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             "payload is not a JSON object.",
             "Give the JSON object that the worker agent runs.",
@@ -185,13 +185,13 @@
         workload_class=parse_id(
             document.get("workload_class"), "workload_class"
         ),
-        tasks=_integer(document, "tasks", 1, MAX_TASKS, default=1),
-        resources=_resources(document.get("resources")),
-        urgent=_boolean(document, "urgent", False),
-        declared_run_s=_number(
+        tasks=_read_integer(document, "tasks", 1, MAX_TASKS, default=1),
+        resources=_read_resources(document.get("resources")),
+        urgent=_read_boolean(document, "urgent", False),
+        declared_run_s=_read_number(
             document, "declared_run_s", 0, MAX_RUN_S, default=0.0
         ),
-        wait_limit_s=_number(
+        wait_limit_s=_read_number(
             document, "wait_limit_s", 0, MAX_RUN_S, default=0.0
         ),
         payload=json.dumps(payload).encode(),
@@ -207,25 +207,27 @@
     Raises
     ------
     errors.RefusedError
-        With the first error found.
+        For the first error found.
     """
     document = parse_object(body, PATCH_FIELDS)
     patch = document.get("patch")
     if not isinstance(patch, dict):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             "patch is not a JSON object.",
             "Give a JSON merge patch (RFC 7396).",
         )
     author = document.get("author", "")
     if not isinstance(author, str) or len(author) > MAX_ID_CHARACTERS:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             "author is not a string or is too long.",
             f"Give at most {MAX_ID_CHARACTERS} characters.",
         )
     return PatchBody(
-        base=_integer(document, "base", 0, 2**53), patch=patch, author=author
+        base=_read_integer(document, "base", 0, 2**53),
+        patch=patch,
+        author=author,
     )
 
 
@@ -244,7 +246,7 @@
         or not value.isprintable()
         or "/" in value
     ):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             f"{name} is missing or invalid.",
             f"Give 1 to {MAX_ID_CHARACTERS} printable ASCII characters"
@@ -253,26 +255,26 @@
     return value
 
 
-def _resources(value: object) -> model.Resources:
+def _read_resources(value: object) -> model.Resources:
     if not isinstance(value, dict) or not value:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             "resources is missing or not a JSON object.",
             "Give cpu_millis, memory_mb and accelerators.",
         )
     for name in value:
         if name not in RESOURCE_FIELDS:
-            raise _refusal(
+            raise _make_refusal(
                 errors.Reason.UNKNOWN_FIELD,
                 f"There is no field resources.{name[:MAX_ID_CHARACTERS]}.",
                 "Use cpu_millis, memory_mb and accelerators.",
             )
     amounts = {
-        name: _integer(value, name, 0, MAX_AMOUNT, default=0)
+        name: _read_integer(value, name, 0, MAX_AMOUNT, default=0)
         for name in sorted(RESOURCE_FIELDS)
     }
     if not any(amounts.values()):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             "resources requests nothing.",
             "Give at least one amount above 0.",
@@ -280,12 +282,12 @@
     return model.Resources(**amounts)
 
 
-def _boolean(
+def _read_boolean(
     document: collections.abc.Mapping[str, object], name: str, default: bool
 ) -> bool:
     value = document.get(name, default)
     if not isinstance(value, bool):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             f"{name} is neither true nor false.",
             "Give true or false.",
@@ -293,7 +295,7 @@
     return value
 
 
-def _integer(
+def _read_integer(
     document: collections.abc.Mapping[str, object],
     name: str,
     low: int,
@@ -306,11 +308,11 @@
         or isinstance(value, bool)
         or not low <= value <= high
     ):
-        raise _range_refusal(name, low, high)
+        raise _out_of_range_refusal(name, low, high)
     return value
 
 
-def _number(
+def _read_number(
     document: collections.abc.Mapping[str, object],
     name: str,
     low: float,
@@ -323,19 +325,21 @@
         or isinstance(value, bool)
         or not low <= value <= high
     ):
-        raise _range_refusal(name, low, high)
+        raise _out_of_range_refusal(name, low, high)
     return float(value)
 
 
-def _range_refusal(name: str, low: float, high: float) -> errors.RefusedError:
-    return _refusal(
+def _out_of_range_refusal(
+    name: str, low: float, high: float
+) -> errors.RefusedError:
+    return _make_refusal(
         errors.Reason.INVALID_VALUE,
         f"{name} is missing or out of range.",
         f"Give a number from {low:g} to {high:g}.",
     )
 
 
-def _refusal(
+def _make_refusal(
     reason: errors.Reason, message: str, remedy: str
 ) -> errors.RefusedError:
     return errors.RefusedError(reason=reason, message=message, remedy=remedy)
