--- a/chestnuttide/entry/_parsing.py
+++ b/chestnuttide/entry/_parsing.py
@@ -1,6 +1,6 @@
-"""Checks of what callers and operators send.
+"""Parses and validates the bodies that callers and operators send.
 
-All functions are pure and raise `errors.RefusedError` with a remedy, before
+All functions are pure. They raise `errors.RefusedError` with a remedy before
 anything is sent to a scheduler.
 """
 
@@ -13,29 +13,29 @@
 from chestnuttide import errors
 from chestnuttide import model
 
-# Ids become parts of keys and of header lines.
+# Ids become parts of store keys and of header lines.
 MAX_ID_CHARACTERS = 128
-# Longest time that a caller may wait, in seconds.
+# Maximum time until the deadline of a request; later deadlines are moved up.
 MAX_TIMEOUT_S = 3600.0
-# Most tasks of one job; a pool's queue holds no more.
+# Maximum number of tasks in a job; the queue of a pool holds no more.
 MAX_TASKS = 100_000
-# Largest amount of one dimension; larger ones are surely a mistake.
+# Maximum amount of a resource; larger amounts are certainly mistakes.
 MAX_AMOUNT = 10**9
 MAX_RUN_S = 10.0**8
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class PatchBody:
-    """A config patch as an operator sent it.
+    """A configuration patch as sent by an operator.
 
     Attributes
     ----------
     base : int
-        Version that it was made against.
+        Configuration version that the patch is based on.
     patch : dict
         JSON merge patch.
     author : str
-        Who submits it.
+        Author of the patch.
     """
 
     base: int
@@ -44,14 +44,14 @@
 
 
 def parse_object(body: bytes, allowed: frozenset[str]) -> dict[str, object]:
-    """Return the JSON object in a body.
+    """Parse a body that must be a JSON object.
 
     Parameters
     ----------
     body : bytes
         The body.
     allowed : frozenset of str
-        Names of the fields that it may have.
+        Names of the allowed fields.
 
     Raises
     ------
@@ -61,22 +61,22 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.MALFORMED,
-            f"The body is no JSON: {error}.",
+            f"The body is not valid JSON: {error}.",
             "Send one JSON object.",
         ) from error
     if not isinstance(document, dict):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.MALFORMED,
-            "The body is no JSON object.",
+            "The body is not a JSON object.",
             "Send one JSON object.",
         )
     for name in document:
         if name not in allowed:
-            near = difflib.get_close_matches(name, allowed, n=1)
-            hint = f"Use {near[0]}." if near else "Leave it out."
-            raise _refusal(
+            matches = difflib.get_close_matches(name, allowed, n=1)
+            hint = f"Use {matches[0]}." if matches else "Leave it out."
+            raise _make_refusal(
                 errors.Reason.UNKNOWN_FIELD,
                 f"There is no field {name[:MAX_ID_CHARACTERS]}.",
                 hint,
@@ -99,7 +99,7 @@
 def parse_request(
     service: str, body: bytes, *, wall_now: float, now: float
 ) -> model.Request:
-    """Return the request in a body.
+    """Parse a request.
 
     Parameters
     ----------
@@ -108,30 +108,31 @@
     body : bytes
         The JSON body.
     wall_now : float
-        Seconds since the epoch, against which the deadline is checked.
+        Current time in seconds since the epoch, against which the deadline is
+        checked.
     now : float
-        Monotonic time in seconds.
+        Current monotonic time in seconds.
 
     Raises
     ------
     errors.RefusedError
-        With the first fault found.
+        For the first error found.
     """
     document = parse_object(body, REQUEST_FIELDS)
-    deadline_ms = _number(document, "deadline_unix_ms", 0, 10.0**14)
+    deadline_ms = _read_number(document, "deadline_unix_ms", 0, 10.0**14)
     timeout_s = deadline_ms / 1000 - wall_now
     if timeout_s <= 0:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.DEADLINE_EXCEEDED,
-            "deadline_unix_ms lies in the past.",
+            "deadline_unix_ms is in the past.",
             "Give a time in the future, in ms since the epoch.",
         )
     return model.Request(
         request_id=parse_id(document.get("id"), "id"),
         service=service,
         team=parse_id(document.get("team"), "team"),
-        urgent=_flag(document, "urgent", False),
-        idempotent=_flag(document, "idempotent", False),
+        urgent=_read_boolean(document, "urgent", False),
+        idempotent=_read_boolean(document, "idempotent", False),
         deadline=now + min(timeout_s, MAX_TIMEOUT_S),
         payload=json.dumps(document.get("payload")).encode(),
     )
@@ -155,27 +156,27 @@
 
 
 def parse_job(body: bytes) -> model.Job:
-    """Return the job in a body.
+    """Parse a job.
 
     Raises
     ------
     errors.RefusedError
-        With the first fault found.
+        For the first error found.
     """
     document = parse_object(body, JOB_FIELDS)
     kind = document.get("kind")
     if kind not in tuple(model.JobKind):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
-            "kind is not known.",
+            "kind is unknown.",
             f"Use one of {', '.join(model.JobKind)}.",
         )
     payload = document.get("payload", {})
     if not isinstance(payload, dict):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
-            "payload is no JSON object.",
-            "Give the object that the worker agent is to run.",
+            "payload is not a JSON object.",
+            "Give the JSON object that the worker agent runs.",
         )
     return model.Job(
         job_id=parse_id(document.get("id"), "id"),
@@ -184,13 +185,13 @@
         workload_class=parse_id(
             document.get("workload_class"), "workload_class"
         ),
-        tasks=_integer(document, "tasks", 1, MAX_TASKS, default=1),
-        resources=_resources(document.get("resources")),
-        urgent=_flag(document, "urgent", False),
-        declared_run_s=_number(
+        tasks=_read_integer(document, "tasks", 1, MAX_TASKS, default=1),
+        resources=_read_resources(document.get("resources")),
+        urgent=_read_boolean(document, "urgent", False),
+        declared_run_s=_read_number(
             document, "declared_run_s", 0, MAX_RUN_S, default=0.0
         ),
-        wait_limit_s=_number(
+        wait_limit_s=_read_number(
             document, "wait_limit_s", 0, MAX_RUN_S, default=0.0
         ),
         payload=json.dumps(payload).encode(),
@@ -201,35 +202,37 @@
 
 
 def parse_patch(body: bytes) -> PatchBody:
-    """Return the config patch in a body.
+    """Parse a configuration patch.
 
     Raises
     ------
     errors.RefusedError
-        With the first fault found.
+        For the first error found.
     """
     document = parse_object(body, PATCH_FIELDS)
     patch = document.get("patch")
     if not isinstance(patch, dict):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
-            "patch is no JSON object.",
+            "patch is not a JSON object.",
             "Give a JSON merge patch (RFC 7396).",
         )
     author = document.get("author", "")
     if not isinstance(author, str) or len(author) > MAX_ID_CHARACTERS:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
-            "author is no short text.",
+            "author is not a string or is too long.",
             f"Give at most {MAX_ID_CHARACTERS} characters.",
         )
     return PatchBody(
-        base=_integer(document, "base", 0, 2**53), patch=patch, author=author
+        base=_read_integer(document, "base", 0, 2**53),
+        patch=patch,
+        author=author,
     )
 
 
 def parse_id(value: object, name: str) -> str:
-    """Return a checked id or name.
+    """Return an id or name after validation.
 
     Raises
     ------
@@ -243,48 +246,48 @@
         or not value.isprintable()
         or "/" in value
     ):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
-            f"{name} is missing or not usable.",
+            f"{name} is missing or invalid.",
             f"Give 1 to {MAX_ID_CHARACTERS} printable ASCII characters"
             " without a slash.",
         )
     return value
 
 
-def _resources(value: object) -> model.Resources:
+def _read_resources(value: object) -> model.Resources:
     if not isinstance(value, dict) or not value:
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
-            "resources is missing or no JSON object.",
+            "resources is missing or not a JSON object.",
             "Give cpu_millis, memory_mb and accelerators.",
         )
     for name in value:
         if name not in RESOURCE_FIELDS:
-            raise _refusal(
+            raise _make_refusal(
                 errors.Reason.UNKNOWN_FIELD,
                 f"There is no field resources.{name[:MAX_ID_CHARACTERS]}.",
                 "Use cpu_millis, memory_mb and accelerators.",
             )
     amounts = {
-        name: _integer(value, name, 0, MAX_AMOUNT, default=0)
+        name: _read_integer(value, name, 0, MAX_AMOUNT, default=0)
         for name in sorted(RESOURCE_FIELDS)
     }
     if not any(amounts.values()):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
-            "resources asks for nothing.",
+            "resources requests nothing.",
             "Give at least one amount above 0.",
         )
     return model.Resources(**amounts)
 
 
-def _flag(
+def _read_boolean(
     document: collections.abc.Mapping[str, object], name: str, default: bool
 ) -> bool:
     value = document.get(name, default)
     if not isinstance(value, bool):
-        raise _refusal(
+        raise _make_refusal(
             errors.Reason.INVALID_VALUE,
             f"{name} is neither true nor false.",
             "Give true or false.",
@@ -292,7 +295,7 @@
     return value
 
 
-def _integer(
+def _read_integer(
     document: collections.abc.Mapping[str, object],
     name: str,
     low: int,
@@ -305,11 +308,11 @@
         or isinstance(value, bool)
         or not low <= value <= high
     ):
-        raise _range_refusal(name, low, high)
+        raise _out_of_range_refusal(name, low, high)
     return value
 
 
-def _number(
+def _read_number(
     document: collections.abc.Mapping[str, object],
     name: str,
     low: float,
@@ -322,19 +325,21 @@
         or isinstance(value, bool)
         or not low <= value <= high
     ):
-        raise _range_refusal(name, low, high)
+        raise _out_of_range_refusal(name, low, high)
     return float(value)
 
 
-def _range_refusal(name: str, low: float, high: float) -> errors.RefusedError:
-    return _refusal(
+def _out_of_range_refusal(
+    name: str, low: float, high: float
+) -> errors.RefusedError:
+    return _make_refusal(
         errors.Reason.INVALID_VALUE,
         f"{name} is missing or out of range.",
         f"Give a number from {low:g} to {high:g}.",
     )
 
 
-def _refusal(
+def _make_refusal(
     reason: errors.Reason, message: str, remedy: str
 ) -> errors.RefusedError:
     return errors.RefusedError(reason=reason, message=message, remedy=remedy)
