--- a/bench/_baselines.py
+++ b/bench/_baselines.py
@@ -1,7 +1,8 @@
-"""Baseline policies on the traces of the replay.
+"""Replay of traces under baseline placement policies.
 
-All serve work in arrival order, pass over what does not fit, and know no
-urgency, teams, estimates or preemption. They differ in the choice of worker.
+All baselines serve jobs in arrival order, skip those that do not fit, and
+ignore urgency, teams, estimates and preemption. They differ in the choice of
+the worker.
 """
 
 import bisect
@@ -17,21 +18,21 @@
 from chestnuttide import model
 
 SEED = 11
-# Lease of a task with its margin, after which a failed worker's tasks start
-# elsewhere; the pool's default.
+# Task lease plus margin, after which the tasks of a failed worker restart
+# elsewhere; the default of the pool.
 LEASE_S = 11.0
 
 
 @attrs.define(kw_only=True, eq=False)
 class Worker:
-    """A worker and what is free on it.
+    """A worker and its free capacity.
 
     Attributes
     ----------
     capacity, free : list of int
         Processors, memory and accelerators.
     up : bool
-        Whether it takes work.
+        Whether the worker accepts tasks.
     """
 
     capacity: list[int]
@@ -40,7 +41,7 @@
 
 
 Need = tuple[int, int, int]
-# Returns one of the workers that have room, or None.
+# Returns a worker with enough free capacity, or None.
 Choose = collections.abc.Callable[[list[Worker], Need], Worker | None]
 
 
@@ -57,8 +58,8 @@
     return [Worker(capacity=each, free=list(each)) for each in amounts]
 
 
-def has_room(worker: Worker, need: Need) -> bool:
-    """Return whether a need fits into what is free on a worker."""
+def fits_on(worker: Worker, need: Need) -> bool:
+    """Return whether a need fits the free capacity of a worker."""
     free = worker.free
     return (
         worker.up
@@ -69,31 +70,31 @@
 
 
 def choose_first(workers: list[Worker], need: Need) -> Worker | None:
-    """Return the first worker with room."""
-    return next((each for each in workers if has_room(each, need)), None)
+    """Return the first worker that fits a need."""
+    return next((each for each in workers if fits_on(each, need)), None)
 
 
 def choose_least_loaded(workers: list[Worker], need: Need) -> Worker | None:
-    """Return the worker with room whose fullest dimension is emptiest."""
+    """Return the fitting worker with the lowest maximum utilization."""
     return min(
-        (each for each in workers if has_room(each, need)),
+        (each for each in workers if fits_on(each, need)),
         key=load,
         default=None,
     )
 
 
 def make_choose_random(rng: random.Random) -> Choose:
-    """Return the choice of any worker with room."""
+    """Return a policy that picks a fitting worker at random."""
 
     def choose(workers: list[Worker], need: Need) -> Worker | None:
-        found = [each for each in workers if has_room(each, need)]
+        found = [each for each in workers if fits_on(each, need)]
         return rng.choice(found) if found else None
 
     return choose
 
 
 def load(worker: Worker) -> float:
-    """Return the used share of the fullest dimension."""
+    """Return the utilization of the most used dimension."""
     return max(
         (total - free) / total
         for total, free in zip(worker.capacity, worker.free, strict=True)
@@ -110,19 +111,19 @@
     }
 
 
-def take(worker: Worker, need: Need, sign: int = 1) -> None:
-    """Take a need from a worker; give it back with sign -1."""
+def reserve(worker: Worker, need: Need, sign: int = 1) -> None:
+    """Reserve a need on a worker, or release it with sign -1."""
     for dimension, amount in enumerate(need):
         worker.free[dimension] -= sign * amount
 
 
 def place_all(workers: list[Worker], needs: list[Need], choose: Choose) -> int:
-    """Place needs in order where they fit; return how many were placed."""
+    """Place needs in order where they fit; return the number placed."""
     placed = 0
     for need in needs:
         worker = choose(workers, need)
         if worker is not None:
-            take(worker, need)
+            reserve(worker, need)
             placed += 1
     return placed
 
@@ -135,10 +136,10 @@
     outcome: _replay.Outcome
     now: float = 0.0
     serial: int = 0
-    calls: list[tuple[float, int, collections.abc.Callable[[], None]]] = (
+    timers: list[tuple[float, int, collections.abc.Callable[[], None]]] = (
         attrs.Factory(list)
     )
-    # Arrival number, job id and indexes of tasks that start together.
+    # Arrival number, job id and indexes of the tasks that start together.
     waiting: list[tuple[int, str, tuple[int, ...]]] = attrs.Factory(list)
     running: dict[tuple[str, int], tuple[Worker, int]] = attrs.Factory(dict)
     started: dict[tuple[str, int], float] = attrs.Factory(dict)
@@ -147,7 +148,7 @@
 
 
 def replay(trace: _traces.Trace, choose: Choose) -> _replay.Outcome:
-    """Replay a trace under a baseline policy."""
+    """Replay a trace with a baseline policy."""
     instances = _traces.worker_instances(trace.header)
     workers = make_workers(instances)
     run = _Replay(
@@ -160,23 +161,25 @@
         outcome=_replay.Outcome(),
     )
     for event in trace.events:
-        _at(run, event["t"], lambda event=event: _take_event(run, event))
+        _schedule(
+            run, event["t"], lambda event=event: _apply_event(run, event)
+        )
     end = trace.header["length_s"] + _replay.TAIL_S
-    while run.calls and run.calls[0][0] <= end:
-        run.now, _, call = heapq.heappop(run.calls)
+    while run.timers and run.timers[0][0] <= end:
+        run.now, _, call = heapq.heappop(run.timers)
         call()
     _replay.record_waits(run.outcome, run.started, run.cancelled, end)
     return run.outcome
 
 
-def _at(
+def _schedule(
     run: _Replay, at_s: float, call: collections.abc.Callable[[], None]
 ) -> None:
     run.serial += 1
-    heapq.heappush(run.calls, (at_s, run.serial, call))
+    heapq.heappush(run.timers, (at_s, run.serial, call))
 
 
-def _take_event(run: _Replay, event: dict[str, typing.Any]) -> None:
+def _apply_event(run: _Replay, event: dict[str, typing.Any]) -> None:
     match event["event"]:
         case "submit":
             job_id = event["job"]
@@ -188,14 +191,14 @@
                 groups = [tuple(indexes)]
             for group in groups:
                 if not _try_start(run, job_id, group):
-                    _wait(run, job_id, group)
+                    _enqueue(run, job_id, group)
         case "cancel":
             _cancel(run, event["job"])
         case "fail":
             _fail(run, run.by_id[event["worker"]], event["back_s"])
 
 
-def _wait(run: _Replay, job_id: str, group: tuple[int, ...]) -> None:
+def _enqueue(run: _Replay, job_id: str, group: tuple[int, ...]) -> None:
     bisect.insort(run.waiting, (run.numbers[job_id], job_id, group))
 
 
@@ -205,16 +208,16 @@
 
 
 def _try_start(run: _Replay, job_id: str, group: tuple[int, ...]) -> bool:
-    """Start tasks together, or none of them."""
+    """Start all tasks of a group, or none of them."""
     need = _need(run, job_id)
     chosen: list[Worker] = []
     for _ in group:
         worker = run.choose(run.workers, need)
         if worker is None:
             for each in chosen:
-                take(each, need, -1)
+                reserve(each, need, -1)
             return False
-        take(worker, need)
+        reserve(worker, need)
         chosen.append(worker)
     event = run.outcome.arrivals[job_id]
     for index, worker in zip(group, chosen, strict=True):
@@ -225,36 +228,36 @@
         run.outcome.starts += 1
         if event["kind"] != "service":
             serial = run.serial
-            _at(
+            _schedule(
                 run,
                 run.now + event["runs"][index],
-                lambda key=key, serial=serial: _end(run, key, serial),
+                lambda key=key, serial=serial: _complete(run, key, serial),
             )
     return True
 
 
-def _end(run: _Replay, key: tuple[str, int], serial: int) -> None:
+def _complete(run: _Replay, key: tuple[str, int], serial: int) -> None:
     found = run.running.get(key)
     if found is None or found[1] != serial:
         return
     del run.running[key]
-    take(found[0], _need(run, key[0]), -1)
-    _serve(run)
+    reserve(found[0], _need(run, key[0]), -1)
+    _start_waiting(run)
 
 
-def _serve(run: _Replay) -> None:
-    """Start waiting work in arrival order after room was made."""
-    misfits: set[tuple[Need, int]] = set()
-    left = []
+def _start_waiting(run: _Replay) -> None:
+    """Start waiting tasks in arrival order after capacity was freed."""
+    unplaceable: set[tuple[Need, int]] = set()
+    still_waiting = []
     for item in run.waiting:
         _number, job_id, group = item
-        misfit = _need(run, job_id), len(group)
-        if misfit in misfits:
-            left.append(item)
+        group_size = _need(run, job_id), len(group)
+        if group_size in unplaceable:
+            still_waiting.append(item)
         elif not _try_start(run, job_id, group):
-            misfits.add(misfit)
-            left.append(item)
-    run.waiting = left
+            unplaceable.add(group_size)
+            still_waiting.append(item)
+    run.waiting = still_waiting
 
 
 def _cancel(run: _Replay, job_id: str) -> None:
@@ -264,10 +267,10 @@
     for index in range(len(run.outcome.arrivals[job_id]["runs"])):
         found = run.running.pop((job_id, index), None)
         if found is not None:
-            take(found[0], _need(run, job_id), -1)
+            reserve(found[0], _need(run, job_id), -1)
             freed = True
     if freed:
-        _serve(run)
+        _start_waiting(run)
 
 
 def _fail(run: _Replay, worker: Worker, back_s: float) -> None:
@@ -275,17 +278,17 @@
     lost = [key for key, found in run.running.items() if found[0] is worker]
     for key in lost:
         del run.running[key]
-        take(worker, _need(run, key[0]), -1)
+        reserve(worker, _need(run, key[0]), -1)
 
-    def start_again() -> None:
+    def restart_tasks() -> None:
         for job_id, index in lost:
             if job_id not in run.cancelled:
-                _wait(run, job_id, (index,))
-        _serve(run)
+                _enqueue(run, job_id, (index,))
+        _start_waiting(run)
 
-    def come_back() -> None:
+    def recover() -> None:
         worker.up = True
-        _serve(run)
+        _start_waiting(run)
 
-    _at(run, run.now + LEASE_S, start_again)
-    _at(run, run.now + back_s, come_back)
+    _schedule(run, run.now + LEASE_S, restart_tasks)
+    _schedule(run, run.now + back_s, recover)
--- a/bench/_policies.py
+++ b/bench/_policies.py
@@ -1,4 +1,4 @@
-"""Figures of the scheduling policy, from replays of the traces."""
+"""Figures of the scheduling policy, measured by replaying traces."""
 
 import collections
 import math
@@ -12,37 +12,37 @@
 from chestnuttide import model
 from chestnuttide import placement
 
-CLASSES = ("proof", "preview", "frames", "solver", "fulfilment")
-SHORT = "preview"
-URGENT = "proof"
+WORKLOAD_CLASSES = ("proof", "preview", "frames", "solver", "fulfilment")
+SHORT_CLASS = "preview"
+URGENT_CLASS = "proof"
 COMMAND = "python -m bench policies"
-# Waits below one tick of the scheduler count as one tick in ratios.
+# Ratios count waits shorter than a scheduler tick as one tick.
 SHORTEST_WAIT_S = 0.05
 PACKED_WORKERS = 100
 PACKED_SHARE = 0.7
-# Work submitted to a pool at saturation, over its capacity.
+# Submitted processor demand over pool capacity in the saturation case.
 OVERLOAD = 2.0
 
 Outcomes = dict[str, _replay.Outcome]
 
 
 def measure(_directory: pathlib.Path) -> list[_figures.Figure]:
-    """Return the figures of all traces."""
+    """Measure the policy figures on all traces."""
     names = [each.name for each in _traces.DEPLOYMENTS]
     traces = {name: _traces.load(name) for name in names}
     outcomes = {name: _replay_all(trace) for name, trace in traces.items()}
-    even = {
+    uniform = {
         name: _replay_all(_traces.without_stragglers(trace))
         for name, trace in traces.items()
     }
-    crest = tuple(next(iter(traces.values())).header["crest_s"])
+    peak = tuple(next(iter(traces.values())).header["crest_s"])
     figures = [
-        _worst(
+        _worst_figure(
             "urgent_start_p99_s_crest",
             {
                 name: {
                     policy: _figures.percentile(
-                        waits_of(outcome, URGENT, crest), 99
+                        waits_of(outcome, URGENT_CLASS, peak), 99
                     )
                     for policy, outcome in found.items()
                 }
@@ -53,11 +53,11 @@
             note="decision logic only: commands, answers and commits take"
             " no time in the replay",
         ),
-        _worst(
+        _worst_figure(
             "hol_ratio",
             {
                 name: {
-                    policy: hol_ratio(outcome, even[name][policy])
+                    policy: hol_ratio(outcome, uniform[name][policy])
                     for policy, outcome in found.items()
                 }
                 for name, found in outcomes.items()
@@ -68,17 +68,20 @@
             " ratio also has the wait for the capacity that they hold; they"
             " cannot be told from short work before they run",
         ),
-        _worst(
+        _worst_figure(
             "packing_ratio",
-            {name: _pack(trace) for name, trace in traces.items()},
+            {name: _packing_ratios(trace) for name, trace in traces.items()},
             "ratio",
             target=1.1,
             note=f"{PACKED_WORKERS} equal workers, demand"
             f" {PACKED_SHARE:.0%} of them",
         ),
-        _worst(
+        _worst_figure(
             "saturation_share",
-            {name: _saturate(trace) for name, trace in traces.items()},
+            {
+                name: _saturation_shares(trace)
+                for name, trace in traces.items()
+            },
             "share",
             lowest=True,
             note="of the binding dimension, by declared sizes",
@@ -86,14 +89,14 @@
     ]
     for name, found in outcomes.items():
         figures += _wait_figures(name, found, "", (0.0, math.inf))
-        figures += _wait_figures(name, found, "_crest", crest)
+        figures += _wait_figures(name, found, "_crest", peak)
     return figures
 
 
 def waits_of(
     outcome: _replay.Outcome, workload_class: str, window: tuple[float, float]
 ) -> list[float]:
-    """Return the waits of tasks of a class that arrived in a window."""
+    """Return the waits of the tasks of a class that arrive in a window."""
     return [
         wait_s
         for (job_id, _index), wait_s in outcome.waits.items()
@@ -102,31 +105,35 @@
     ]
 
 
-def hol_ratio(slow: _replay.Outcome, even: _replay.Outcome) -> float:
-    """Return the p99 wait of short work over that without stragglers."""
-    p99_slow, p99_even = (
+def hol_ratio(slow: _replay.Outcome, uniform: _replay.Outcome) -> float:
+    """Return the p99 wait of short jobs over that without stragglers."""
+    p99_slow, p99_uniform = (
         max(
             SHORTEST_WAIT_S,
-            _figures.percentile(waits_of(each, SHORT, (0.0, math.inf)), 99),
+            _figures.percentile(
+                waits_of(each, SHORT_CLASS, (0.0, math.inf)), 99
+            ),
         )
-        for each in (slow, even)
+        for each in (slow, uniform)
     )
-    return p99_slow / p99_even
+    return p99_slow / p99_uniform
 
 
 def lower_bound(needs: list[_baselines.Need], capacity: list[int]) -> int:
-    """Return the fewest equal workers that can hold needs.
+    """Return a lower bound on the number of equal workers for needs.
 
     Raises
     ------
     ValueError
-        A dimension that is needed is not offered.
+        A worker offers none of a dimension that is needed.
     """
     counts = [0]
     for dimension, offered in enumerate(capacity):
         total = sum(need[dimension] for need in needs)
         if total and not offered:
-            raise ValueError("a needed dimension is not offered")
+            raise ValueError(
+                "workers offer none of a needed resource dimension"
+            )
         if total:
             counts.append(math.ceil(total / offered))
     return max(counts)
@@ -139,7 +146,7 @@
     return outcomes
 
 
-def _worst(
+def _worst_figure(
     name: str,
     values: dict[str, dict[str, float]],
     unit: str,
@@ -147,7 +154,7 @@
     lowest: bool = False,
     **fields: typing.Any,
 ) -> _figures.Figure:
-    """Return the worst of the traces for each policy."""
+    """Return the figure of the worst trace for each policy."""
     by_policy = collections.defaultdict(list)
     for found in values.values():
         for policy, value in found.items():
@@ -175,7 +182,7 @@
     trace: str, outcomes: Outcomes, suffix: str, window: tuple[float, float]
 ) -> list[_figures.Figure]:
     figures = []
-    for workload_class in CLASSES:
+    for workload_class in WORKLOAD_CLASSES:
         waits = {
             policy: waits_of(outcome, workload_class, window)
             for policy, outcome in outcomes.items()
@@ -201,10 +208,10 @@
     return figures
 
 
-def _batches(
+def _batch_jobs(
     trace: _traces.Trace, capacity: list[int]
 ) -> list[dict[str, typing.Any]]:
-    """Return the trace's batch jobs whose tasks fit into a capacity."""
+    """Return submissions of batch jobs whose tasks fit a capacity."""
     return [
         event
         for event in trace.events
@@ -221,8 +228,8 @@
     return [tuple(event["need"]) for event in events for _ in event["runs"]]
 
 
-def _pack(trace: _traces.Trace) -> dict[str, float]:
-    """Return workers used over the lower bound, for each policy."""
+def _packing_ratios(trace: _traces.Trace) -> dict[str, float]:
+    """Return the workers used over the lower bound, by policy."""
     first = _traces.worker_instances(trace.header)[0]
     instances = [
         model.Instance(
@@ -238,7 +245,7 @@
     ]
     capacity = _baselines.make_workers(instances)[0].capacity
     chosen: list[dict[str, typing.Any]] = []
-    for event in _batches(trace, capacity):
+    for event in _batch_jobs(trace, capacity):
         chosen.append(event)
         bound = lower_bound(_needs(chosen), capacity)
         if bound >= PACKED_SHARE * PACKED_WORKERS:
@@ -258,8 +265,8 @@
     return {policy: count / bound for policy, count in used.items()}
 
 
-def _saturate(trace: _traces.Trace) -> dict[str, float]:
-    """Return the reserved share of the fullest dimension in a full pool."""
+def _saturation_shares(trace: _traces.Trace) -> dict[str, float]:
+    """Return the reserved share of the fullest dimension, by policy."""
     instances = _traces.worker_instances(trace.header)
     workers = _baselines.make_workers(instances)
     totals = [
@@ -272,7 +279,7 @@
     ]
     chosen: list[dict[str, typing.Any]] = []
     demand = 0
-    for event in _batches(trace, largest):
+    for event in _batch_jobs(trace, largest):
         if event["need"][2]:
             continue
         chosen.append(event)
--- a/bench/_replay.py
+++ b/bench/_replay.py
@@ -1,8 +1,8 @@
 """Replay of a trace through the pool filter.
 
-It is no simulation of a cluster: commands, answers and journal commits take no
-time. A worker here is a table of attempts that end after their recorded run
-time; an attempt that was checkpointed goes on where it stopped.
+This does not simulate a cluster: commands, replies and journal commits take no
+time. A worker is modelled as a table of attempts that complete after their
+recorded run time; a checkpointed attempt resumes where it stopped.
 """
 
 import collections
@@ -22,25 +22,26 @@
 SYNC_S = 2.0
 TICK_S = 0.05
 SEED = 7
-# Time after the trace's end in which waiting work may still start.
+# Time after the end of the trace during which waiting tasks may still start.
 TAIL_S = 60.0
 
 
 @attrs.define(kw_only=True)
 class Outcome:
-    """What a replay recorded.
+    """Results of a replay.
 
     Attributes
     ----------
     waits : dict of (str, int) to float
-        Seconds from arrival to the first start of each task that was not
-        cancelled; for one that never started, to the end of the replay.
+        Seconds from arrival to first start, for every task that started or
+        was not cancelled. A task that never started waits until the end of
+        the replay.
     unstarted : int
         Tasks that never started and were not cancelled.
     starts : int
-        All starts.
+        Number of task starts, including restarts.
     arrivals : dict of str to dict
-        The submission of each job.
+        Submission event of every job.
     """
 
     waits: dict[tuple[str, int], float] = attrs.Factory(dict)
@@ -60,24 +61,24 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class _World:
+class _Context:
     state: jobs.PoolState
-    run: typing.Callable[[object, float], list[object]]
+    pool_filter: typing.Callable[[object, float], list[object]]
     workers: dict[str, _Worker]
     outcome: Outcome
     now: float = 0.0
-    calls: list[tuple[float, int, typing.Callable[[], None]]] = attrs.Factory(
+    timers: list[tuple[float, int, typing.Callable[[], None]]] = attrs.Factory(
         list
     )
     serial: int = 0
     inbox: collections.deque[object] = attrs.Factory(collections.deque)
-    left_s: dict[tuple[str, int], float] = attrs.Factory(dict)
+    remaining_s: dict[tuple[str, int], float] = attrs.Factory(dict)
     started: dict[tuple[str, int], float] = attrs.Factory(dict)
     cancelled: set[str] = attrs.Factory(set)
 
 
 def make_document(header: dict[str, typing.Any]) -> config.CellConfig:
-    """Return the configuration under which a trace is replayed."""
+    """Return the cell configuration for replaying a trace."""
     return config.CellConfig(
         teams={
             name: config.TeamConfig(weight=weight)
@@ -97,33 +98,41 @@
 
 
 def replay(trace: _traces.Trace) -> Outcome:
-    """Replay a trace; equal traces give equal outcomes."""
+    """Replay a trace; deterministic for a given trace."""
     state = jobs.PoolState(
         document=make_document(trace.header), rng=random.Random(SEED)
     )
     instances = _traces.worker_instances(trace.header)
-    world = _World(
+    context = _Context(
         state=state,
-        run=jobs.make_pool_filter(state=state),
+        pool_filter=jobs.make_pool_filter(state=state),
         workers={
             each.instance_id: _Worker(instance=each) for each in instances
         },
         outcome=Outcome(),
     )
-    _feed(world, jobs.WorkersChanged(instances=tuple(instances)))
-    for number, worker_id in enumerate(world.workers):
-        offset_s = SYNC_S * number / len(world.workers)
-        _sync(world, worker_id)
-        _at(world, offset_s, lambda each=worker_id: _sync_again(world, each))
-    _at(world, 0.0, lambda: _tick(world))
+    _process(context, jobs.WorkersChanged(instances=tuple(instances)))
+    for number, worker_id in enumerate(context.workers):
+        offset_s = SYNC_S * number / len(context.workers)
+        _sync(context, worker_id)
+        _schedule(
+            context,
+            offset_s,
+            lambda each=worker_id: _sync_periodically(context, each),
+        )
+    _schedule(context, 0.0, lambda: _tick_periodically(context))
     for event in trace.events:
-        _at(world, event["t"], lambda event=event: _take(world, event))
+        _schedule(
+            context,
+            event["t"],
+            lambda event=event: _apply_event(context, event),
+        )
     end = trace.header["length_s"] + TAIL_S
-    while world.calls and world.calls[0][0] <= end:
-        world.now, _, call = heapq.heappop(world.calls)
+    while context.timers and context.timers[0][0] <= end:
+        context.now, _, call = heapq.heappop(context.timers)
         call()
-    record_waits(world.outcome, world.started, world.cancelled, end)
-    return world.outcome
+    record_waits(context.outcome, context.started, context.cancelled, end)
+    return context.outcome
 
 
 def record_waits(
@@ -132,16 +141,16 @@
     cancelled: set[str],
     end: float,
 ) -> None:
-    """Fill in the waits of an outcome.
+    """Compute the waits of an outcome.
 
     Parameters
     ----------
     outcome : Outcome
-        Has the arrivals; gets the waits.
+        Provides the arrivals and receives the waits.
     started : dict of (str, int) to float
         Time of the first start of each task.
     cancelled : set of str
-        Cancelled jobs; their tasks that never started have no wait.
+        Cancelled jobs; tasks of these that never started get no wait.
     end : float
         Time at which the replay ended.
     """
@@ -161,178 +170,193 @@
     submissions: list[dict[str, typing.Any]],
     header: dict[str, typing.Any],
 ) -> placement.Cell:
-    """Submit work that never ends, all at once; return the cell."""
+    """Submit endless jobs all at once and return the resulting cell."""
     state = jobs.PoolState(
         document=make_document(header), rng=random.Random(SEED)
     )
-    world = _World(
+    context = _Context(
         state=state,
-        run=jobs.make_pool_filter(state=state),
+        pool_filter=jobs.make_pool_filter(state=state),
         workers={
             each.instance_id: _Worker(instance=each) for each in instances
         },
         outcome=Outcome(),
     )
-    _feed(world, jobs.WorkersChanged(instances=tuple(instances)))
-    for worker_id in world.workers:
-        _sync(world, worker_id)
+    _process(context, jobs.WorkersChanged(instances=tuple(instances)))
+    for worker_id in context.workers:
+        _sync(context, worker_id)
     for event in submissions:
         endless = {**event, "runs": [math.inf] * len(event["runs"])}
-        _take(world, {**endless, "event": "submit"})
+        _apply_event(context, {**endless, "event": "submit"})
     for _ in range(10):
-        world.now += TICK_S
-        _feed(world, jobs.Tick())
+        context.now += TICK_S
+        _process(context, jobs.Tick())
     return state.cell
 
 
-def _at(world: _World, at_s: float, call: typing.Callable[[], None]) -> None:
-    world.serial += 1
-    heapq.heappush(world.calls, (at_s, world.serial, call))
+def _schedule(
+    context: _Context, at_s: float, call: typing.Callable[[], None]
+) -> None:
+    context.serial += 1
+    heapq.heappush(context.timers, (at_s, context.serial, call))
 
 
-def _take(world: _World, event: dict[str, typing.Any]) -> None:
+def _apply_event(context: _Context, event: dict[str, typing.Any]) -> None:
     match event["event"]:
         case "submit":
-            world.outcome.arrivals[event["job"]] = event
+            context.outcome.arrivals[event["job"]] = event
             job = _traces.to_job(event)
-            _feed(world, jobs.SubmitJob(token=job.job_id, job=job))
+            _process(context, jobs.SubmitJob(token=job.job_id, job=job))
         case "cancel":
-            world.cancelled.add(event["job"])
-            _feed(
-                world, jobs.CancelJob(token=event["job"], job_id=event["job"])
+            context.cancelled.add(event["job"])
+            _process(
+                context,
+                jobs.CancelJob(token=event["job"], job_id=event["job"]),
             )
         case "fail":
-            worker = world.workers[event["worker"]]
+            worker = context.workers[event["worker"]]
             worker.down = True
             worker.running.clear()
             worker.ended.clear()
-            _list(world, worker, model.InstanceState.GONE)
-            back_s = world.now + event["back_s"]
-            _at(world, back_s, lambda: _return(world, worker))
+            _set_state(context, worker, model.InstanceState.GONE)
+            back_s = context.now + event["back_s"]
+            _schedule(context, back_s, lambda: _recover(context, worker))
 
 
-def _return(world: _World, worker: _Worker) -> None:
+def _recover(context: _Context, worker: _Worker) -> None:
     worker.down = False
-    _list(world, worker, model.InstanceState.LIVE)
+    _set_state(context, worker, model.InstanceState.LIVE)
 
 
-def _list(world: _World, worker: _Worker, state: model.InstanceState) -> None:
+def _set_state(
+    context: _Context, worker: _Worker, state: model.InstanceState
+) -> None:
     worker.instance = attrs.evolve(worker.instance, state=state)
-    _feed(world, jobs.WorkersChanged(instances=(worker.instance,)))
+    _process(context, jobs.WorkersChanged(instances=(worker.instance,)))
 
 
-def _tick(world: _World) -> None:
-    _feed(world, jobs.Tick())
-    _at(world, world.now + TICK_S, lambda: _tick(world))
+def _tick_periodically(context: _Context) -> None:
+    _process(context, jobs.Tick())
+    _schedule(
+        context, context.now + TICK_S, lambda: _tick_periodically(context)
+    )
 
 
-def _sync_again(world: _World, worker_id: str) -> None:
-    _sync(world, worker_id)
-    _at(world, world.now + SYNC_S, lambda: _sync_again(world, worker_id))
+def _sync_periodically(context: _Context, worker_id: str) -> None:
+    _sync(context, worker_id)
+    _schedule(
+        context,
+        context.now + SYNC_S,
+        lambda: _sync_periodically(context, worker_id),
+    )
 
 
-def _sync(world: _World, worker_id: str) -> None:
-    worker = world.workers[worker_id]
-    if not jobs.may_sync(world.state, worker_id):
+def _sync(context: _Context, worker_id: str) -> None:
+    worker = context.workers[worker_id]
+    if not jobs.may_sync(context.state, worker_id):
         return
-    lease_s = world.state.document.pool.task_lease_s
-    _feed(world, jobs.SyncSent(worker_id=worker_id, lease_s=lease_s))
+    lease_s = context.state.document.pool.task_lease_s
+    _process(context, jobs.SyncSent(worker_id=worker_id, lease_s=lease_s))
     if worker.down:
-        _feed(world, jobs.SyncFailed(worker_id=worker_id, sent_at=world.now))
+        _process(
+            context, jobs.SyncFailed(worker_id=worker_id, sent_at=context.now)
+        )
         return
     reports = [
         model.AttemptReport(
             attempt=attempt,
             state=model.TaskState.RUNNING,
             resources=need,
-            run_s=world.now - started,
+            run_s=context.now - started,
         )
         for attempt, (started, need) in worker.running.items()
     ]
     reports += worker.ended.values()
-    _feed(
-        world,
+    _process(
+        context,
         jobs.SyncReport(
-            worker_id=worker_id, reports=tuple(reports), sent_at=world.now
+            worker_id=worker_id, reports=tuple(reports), sent_at=context.now
         ),
     )
 
 
-def _feed(world: _World, message: object) -> None:
-    """Feed a message and all that follows from it at the same time."""
-    world.inbox.append(message)
-    if len(world.inbox) > 1:
+def _process(context: _Context, message: object) -> None:
+    """Process a message and, at the same time, all that it causes."""
+    context.inbox.append(message)
+    if len(context.inbox) > 1:
         return
-    while world.inbox:
-        for output in world.run(world.inbox[0], world.now):
-            _carry_out(world, output)
-        world.inbox.popleft()
-        if not world.inbox and jobs.is_busy(world.state, world.now):
-            world.inbox.append(jobs.Tick())
+    while context.inbox:
+        for output in context.pool_filter(context.inbox[0], context.now):
+            _carry_out(context, output)
+        context.inbox.popleft()
+        if not context.inbox and jobs.is_busy(context.state, context.now):
+            context.inbox.append(jobs.Tick())
 
 
-def _carry_out(world: _World, output: object) -> None:
+def _carry_out(context: _Context, output: object) -> None:
     match output:
         case jobs.AppendEvent():
-            world.inbox.append(jobs.JournalDurable(tokens=(output.token,)))
+            context.inbox.append(jobs.JournalDurable(tokens=(output.token,)))
         case jobs.StartTask():
-            _start(world, output)
+            _start(context, output)
         case jobs.StopTask():
-            _stop(world, output)
+            _stop(context, output)
         case jobs.AcknowledgeEnd():
-            world.workers[output.worker_id].ended.pop(output.attempt, None)
+            context.workers[output.worker_id].ended.pop(output.attempt, None)
 
 
-def _start(world: _World, start: jobs.StartTask) -> None:
-    worker = world.workers[start.worker_id]
+def _start(context: _Context, start: jobs.StartTask) -> None:
+    worker = context.workers[start.worker_id]
     attempt = start.attempt
     outcome = jobs.StartOutcome.UNANSWERED
     if not worker.down:
         outcome = jobs.StartOutcome.STARTED
         key = attempt.job_id, attempt.index
-        world.outcome.starts += 1
-        world.started.setdefault(key, world.now)
-        event = world.outcome.arrivals[attempt.job_id]
-        run_s = world.left_s.get(key, event["runs"][attempt.index])
-        worker.running[attempt] = world.now, start.resources
+        context.outcome.starts += 1
+        context.started.setdefault(key, context.now)
+        event = context.outcome.arrivals[attempt.job_id]
+        run_s = context.remaining_s.get(key, event["runs"][attempt.index])
+        worker.running[attempt] = context.now, start.resources
         if event["kind"] != "service" and run_s < math.inf:
-            _at(
-                world,
-                world.now + run_s,
-                lambda: _end(
-                    world, worker, attempt, model.TaskState.SUCCEEDED
+            _schedule(
+                context,
+                context.now + run_s,
+                lambda: _complete(
+                    context, worker, attempt, model.TaskState.SUCCEEDED
                 ),
             )
-    world.inbox.append(
+    context.inbox.append(
         jobs.StartResult(
             worker_id=start.worker_id,
             attempt=attempt,
             outcome=outcome,
-            sent_at=world.now,
+            sent_at=context.now,
         )
     )
 
 
-def _stop(world: _World, stop: jobs.StopTask) -> None:
-    worker = world.workers[stop.worker_id]
+def _stop(context: _Context, stop: jobs.StopTask) -> None:
+    worker = context.workers[stop.worker_id]
     if stop.attempt not in worker.running:
         return
     attempt = stop.attempt
     if stop.checkpoint:
         key = attempt.job_id, attempt.index
-        event = world.outcome.arrivals[attempt.job_id]
-        left_s = world.left_s.get(key, event["runs"][attempt.index])
-        done_s = world.now - worker.running[attempt][0]
-        world.left_s[key] = max(0.0, left_s - done_s)
-    _at(
-        world,
-        world.now,
-        lambda: _end(world, worker, attempt, model.TaskState.STOPPED),
+        event = context.outcome.arrivals[attempt.job_id]
+        remaining_s = context.remaining_s.get(
+            key, event["runs"][attempt.index]
+        )
+        done_s = context.now - worker.running[attempt][0]
+        context.remaining_s[key] = max(0.0, remaining_s - done_s)
+    _schedule(
+        context,
+        context.now,
+        lambda: _complete(context, worker, attempt, model.TaskState.STOPPED),
     )
 
 
-def _end(
-    world: _World,
+def _complete(
+    context: _Context,
     worker: _Worker,
     attempt: model.Attempt,
     state: model.TaskState,
@@ -345,6 +369,6 @@
         attempt=attempt,
         state=state,
         resources=need,
-        run_s=world.now - started,
+        run_s=context.now - started,
     )
-    _sync(world, worker.instance.instance_id)
+    _sync(context, worker.instance.instance_id)
--- a/bench/_traces.py
+++ b/bench/_traces.py
@@ -1,9 +1,9 @@
-"""Recorded traces of both deployments, and their generator.
+"""Workload traces of both deployments, and their generator.
 
 A trace is a file of JSON lines, compressed by gzip. The first line is the
-header: workers, teams, the length in seconds and the crest of the surge. Each
-other line is an event with its time ``t``: a submission, a cancellation or a
-worker's failure. ``python -m bench._traces`` writes the committed traces.
+header: workers, teams, the length in seconds and the window of peak load.
+Every other line is an event at time ``t``: a job submission, a cancellation or
+a worker failure. ``python -m bench._traces`` writes the committed traces.
 """
 
 import collections.abc
@@ -21,14 +21,16 @@
 SEED: typing.Final = 20_261_204
 
 LENGTH_S = 300.0
-# Offices open within seconds: arrivals rise to a multiple at once.
-CREST_S = (120.0, 150.0)
-CREST_FACTOR = 5.0
-URGENT_CREST_FACTOR = 8.0
+# When offices open, the arrival rate multiplies within seconds.
+# Start and end of the peak.
+PEAK_S = (120.0, 150.0)
+PEAK_FACTOR = 5.0
+URGENT_PEAK_FACTOR = 8.0
 
 STRAGGLER_SHARE = 0.03
 STRAGGLER_FACTOR = 50.0
-# Declared sizes and run times are off by up to this factor, both ways.
+# Declared sizes and run times differ from the real ones by up to this factor
+# in either direction.
 ERROR_FACTOR = 4.0
 
 BURST_AT_S = 130.0
@@ -47,16 +49,16 @@
 
 @attrs.frozen(kw_only=True)
 class Shape:
-    """A group of equal workers.
+    """A group of identical workers.
 
     Attributes
     ----------
     name : str
-        Prefix of their ids.
+        Prefix of the worker ids.
     count : int
-        How many.
+        Number of workers.
     cpu_millis, memory_mb, accelerators : int
-        Capacity of each.
+        Capacity of one worker.
     per_rack : int
         Workers in a rack.
     """
@@ -71,21 +73,21 @@
 
 @attrs.frozen(kw_only=True)
 class Deployment:
-    """What the generator draws a trace from.
+    """Parameters from which the generator draws a trace.
 
     Attributes
     ----------
     name : str
         Name of the trace.
     shapes : tuple of Shape
-        Its workers.
+        Groups of workers.
     data_centres : int
         Number of data centres.
     load : float
-        Share of the processors that work outside of the crest keeps busy,
-        by real sizes and run times.
+        Share of the processors in use outside the peak, computed from real
+        sizes and run times.
     urgent_per_s : float
-        Urgent tasks a second outside of the crest.
+        Arrivals of urgent tasks per second outside the peak.
     """
 
     name: str
@@ -148,7 +150,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Work:
+class JobClass:
     """A class of jobs.
 
     Attributes
@@ -156,17 +158,17 @@
     name : str
         Workload class.
     kind : str
-        Kind of its jobs.
+        Kind of the jobs.
     share : float
-        Its share of the processor seconds of work that is not urgent.
+        Share of this class in the processor seconds of all non-urgent work.
     tasks : tuple of int
-        Numbers of tasks to draw from.
+        Task counts to draw from.
     cores : tuple of float
-        Real cores of a task to draw from.
+        Core counts that a task really uses, to draw from.
     memory_per_core_mb : tuple of float
-        Range of memory for each core.
+        Range of memory per core.
     accelerators : tuple of int
-        Numbers to draw from.
+        Accelerator counts to draw from.
     median_s : float
         Median run time.
     """
@@ -181,8 +183,8 @@
     median_s: float
 
 
-WORKS: typing.Final = (
-    Work(
+JOB_CLASSES: typing.Final = (
+    JobClass(
         name="preview",
         kind="batch",
         share=0.5,
@@ -192,7 +194,7 @@
         accelerators=(0,),
         median_s=4.0,
     ),
-    Work(
+    JobClass(
         name="fulfilment",
         kind="batch",
         share=0.25,
@@ -202,7 +204,7 @@
         accelerators=(0,),
         median_s=40.0,
     ),
-    Work(
+    JobClass(
         name="frames",
         kind="batch",
         share=0.15,
@@ -212,7 +214,7 @@
         accelerators=(1, 2),
         median_s=12.0,
     ),
-    Work(
+    JobClass(
         name="solver",
         kind="gang",
         share=0.1,
@@ -223,7 +225,7 @@
         median_s=15.0,
     ),
 )
-URGENT: typing.Final = Work(
+URGENT: typing.Final = JobClass(
     name="proof",
     kind="batch",
     share=0.0,
@@ -233,20 +235,20 @@
     accelerators=(0,),
     median_s=1.5,
 )
-# Tasks of the services, which run from the start to the end.
+# Number of tasks of each service; they run for the whole trace.
 SERVICES: typing.Final = (("almanac", 6), ("orders", 4))
 
 
 @attrs.frozen(kw_only=True)
 class Trace:
-    """A trace.
+    """A workload trace.
 
     Attributes
     ----------
     header : dict
-        The first line.
+        The first line of the file.
     events : list of dict
-        The events by time.
+        The events in order of time.
     """
 
     header: dict[str, typing.Any]
@@ -254,7 +256,7 @@
 
 
 def generate(deployment: Deployment, seed: int) -> Trace:
-    """Return the trace of a deployment; equal for equal seeds."""
+    """Generate the trace of a deployment; deterministic for a seed."""
     rng = random.Random(f"{deployment.name}/{seed}")
     workers = _make_workers(deployment)
     cores = sum(each["cpu_millis"] for each in workers) / 1000
@@ -263,19 +265,23 @@
         "name": deployment.name,
         "seed": seed,
         "length_s": LENGTH_S,
-        "crest_s": list(CREST_S),
+        "crest_s": list(PEAK_S),
         "teams": dict(TEAMS),
         "workers": workers,
     }
     events = list(_make_services(rng))
-    for work in WORKS:
-        rate = deployment.load * work.share * cores / _core_s(work)
-        for at_s in _arrivals(rng, rate, CREST_FACTOR):
-            events.append(_make_job(rng, work, at_s, largest))
-    for at_s in _arrivals(rng, deployment.urgent_per_s, URGENT_CREST_FACTOR):
+    for job_class in JOB_CLASSES:
+        rate = (
+            deployment.load * job_class.share * cores / _mean_core_s(job_class)
+        )
+        for at_s in _draw_arrivals(rng, rate, PEAK_FACTOR):
+            events.append(_make_job(rng, job_class, at_s, largest))
+    for at_s in _draw_arrivals(
+        rng, deployment.urgent_per_s, URGENT_PEAK_FACTOR
+    ):
         events.append(_make_job(rng, URGENT, at_s, largest, urgent=True))
     burst = [
-        _make_job(rng, WORKS[0], BURST_AT_S + n * 0.005, largest)
+        _make_job(rng, JOB_CLASSES[0], BURST_AT_S + n * 0.005, largest)
         for n in range(BURST_JOBS)
     ]
     events += burst
@@ -296,7 +302,7 @@
 
 
 def without_stragglers(trace: Trace) -> Trace:
-    """Return the trace with the run times of stragglers as of the rest."""
+    """Return the trace with stragglers cut to normal run times."""
 
     def shorten(event: dict[str, typing.Any]) -> dict[str, typing.Any]:
         slow = set(event.get("slow", ()))
@@ -320,7 +326,7 @@
 
 
 def from_text(text: str) -> Trace:
-    """Return the trace in JSON lines."""
+    """Parse a trace from JSON lines."""
     header, *events = (json.loads(line) for line in text.splitlines())
     return Trace(header=header, events=events)
 
@@ -331,19 +337,19 @@
 
 
 def read_text(name: str) -> str:
-    """Return the JSON lines of a committed trace."""
+    """Read the JSON lines of a committed trace."""
     return gzip.decompress(path_of(name).read_bytes()).decode()
 
 
 def load(name: str) -> Trace:
-    """Return a committed trace."""
+    """Load a committed trace."""
     return from_text(read_text(name))
 
 
 def worker_instances(
     header: dict[str, typing.Any],
 ) -> list[model.Instance]:
-    """Return the workers of a trace as the instance list names them."""
+    """Return the workers of a trace as entries of the instance list."""
     return [
         model.Instance(
             instance_id=each["id"],
@@ -363,7 +369,7 @@
 
 
 def to_job(event: dict[str, typing.Any]) -> model.Job:
-    """Return the job that a submission declares."""
+    """Convert a submission event to the declared job."""
     cpu_millis, memory_mb, accelerators = event["need"]
     return model.Job(
         job_id=event["job"],
@@ -411,24 +417,30 @@
     return workers
 
 
-def _core_s(work: Work) -> float:
-    """Return the mean core seconds of a job of a class."""
+def _mean_core_s(job_class: JobClass) -> float:
+    """Return the mean core seconds that a job of a class uses."""
     slow = 1 + STRAGGLER_SHARE * (STRAGGLER_FACTOR - 1)
-    tasks = sum(work.tasks) / len(work.tasks)
-    return tasks * sum(work.cores) / len(work.cores) * work.median_s * slow
+    tasks = sum(job_class.tasks) / len(job_class.tasks)
+    return (
+        tasks
+        * sum(job_class.cores)
+        / len(job_class.cores)
+        * job_class.median_s
+        * slow
+    )
 
 
-def _arrivals(
-    rng: random.Random, rate: float, crest_factor: float
+def _draw_arrivals(
+    rng: random.Random, rate: float, peak_factor: float
 ) -> collections.abc.Iterator[float]:
-    """Draw arrival times by thinning."""
+    """Draw arrival times of a Poisson process by thinning."""
     at_s = 0.0
     while True:
-        at_s += rng.expovariate(rate * crest_factor)
+        at_s += rng.expovariate(rate * peak_factor)
         if at_s >= LENGTH_S:
             return
-        in_crest = CREST_S[0] <= at_s < CREST_S[1]
-        if in_crest or rng.random() < 1 / crest_factor:
+        in_peak = PEAK_S[0] <= at_s < PEAK_S[1]
+        if in_peak or rng.random() < 1 / peak_factor:
             yield at_s
 
 
@@ -453,40 +465,40 @@
 
 def _make_job(
     rng: random.Random,
-    work: Work,
+    job_class: JobClass,
     at_s: float,
     largest_cores: float,
     *,
     urgent: bool = False,
 ) -> dict[str, typing.Any]:
-    cores = rng.choice(work.cores)
-    memory = cores * rng.uniform(*work.memory_per_core_mb)
+    cores = rng.choice(job_class.cores)
+    memory = cores * rng.uniform(*job_class.memory_per_core_mb)
     runs = []
     slow = []
-    for index in range(rng.choice(work.tasks)):
-        run_s = work.median_s * rng.lognormvariate(0.0, 0.4)
+    for index in range(rng.choice(job_class.tasks)):
+        run_s = job_class.median_s * rng.lognormvariate(0.0, 0.4)
         if not urgent and rng.random() < STRAGGLER_SHARE:
             slow.append(index)
-            run_s = work.median_s * STRAGGLER_FACTOR
+            run_s = job_class.median_s * STRAGGLER_FACTOR
         runs.append(round(run_s, 3))
-    # People declare too much rather than too little.
+    # Declared sizes are more often too large than too small.
     size_error = ERROR_FACTOR ** rng.uniform(-0.5, 1.0)
     need_cores = min(cores * size_error, largest_cores / 4)
     return {
         "t": round(at_s, 3),
         "event": "submit",
-        "class": work.name,
-        "kind": work.kind,
+        "class": job_class.name,
+        "kind": job_class.kind,
         "team": rng.choice(TEAMS)[0],
         "urgent": urgent,
         "need": [
             int(need_cores * 1000),
             int(memory * need_cores / cores),
-            rng.choice(work.accelerators),
+            rng.choice(job_class.accelerators),
         ],
         "used": [int(cores * 1000), int(memory)],
         "declared_s": round(
-            work.median_s * ERROR_FACTOR ** rng.uniform(-1.0, 1.0), 3
+            job_class.median_s * ERROR_FACTOR ** rng.uniform(-1.0, 1.0), 3
         ),
         "runs": runs,
         "slow": slow,
--- a/bench/tests/test_replay.py
+++ b/bench/tests/test_replay.py
@@ -16,18 +16,19 @@
 def test_committed_trace_equals_the_generator(
     deployment: _traces.Deployment,
 ) -> None:
-    # A trace that no seed gives could not be checked or varied.
+    # A committed trace that the generator cannot reproduce cannot be verified
+    # or varied.
     made = _traces.to_text(_traces.generate(deployment, _traces.SEED))
     assert made == _traces.read_text(deployment.name)
 
 
 @pytest.mark.parametrize("name", _NAMES)
-def test_trace_has_the_agreed_shape(name: str) -> None:
+def test_trace_has_the_specified_load(name: str) -> None:
     trace = _traces.load(name)
-    begin, end = trace.header["crest_s"]
+    start, end = trace.header["crest_s"]
     submits = [each for each in trace.events if each["event"] == "submit"]
-    inside = sum(begin <= each["t"] < end for each in submits) / (end - begin)
-    before = sum(0 < each["t"] < begin for each in submits) / begin
+    inside = sum(start <= each["t"] < end for each in submits) / (end - start)
+    before = sum(0 < each["t"] < start for each in submits) / start
     assert inside > 3 * before
     tasks = sum(len(each["runs"]) for each in submits if not each["urgent"])
     slow = sum(len(each["slow"]) for each in submits)
@@ -40,7 +41,7 @@
     assert kinds == {"service", "batch", "gang"}
     assert len({each["team"] for each in submits}) >= 5
     urgent = sum(
-        each["urgent"] and begin <= each["t"] < end for each in submits
+        each["urgent"] and start <= each["t"] < end for each in submits
     )
     assert urgent >= 100
     cancels = sum(each["event"] == "cancel" for each in trace.events)
@@ -103,7 +104,7 @@
 
 @pytest.mark.parametrize("policy", ["ours", *_baselines.make_policies()])
 def test_replay_is_deterministic(policy: str) -> None:
-    # Figures of two versions could not be compared otherwise.
+    # Without determinism, figures of two versions are not comparable.
     def run() -> _replay.Outcome:
         if policy == "ours":
             return _replay.replay(_first_minute())
@@ -130,32 +131,32 @@
         pytest.param(
             _trace([_FIRST, _SECOND]),
             {("first", 0): 0.0, ("second", 0): 1.0},
-            id="task_starts_before_there_is_room",
+            id="task_starts_before_capacity_is_free",
         ),
         pytest.param(
             _trace([_FIRST, _SECOND, _URGENT]),
             {("first", 0): 0.0, ("second", 0): 1.0, ("urgent", 0): 2.5},
-            id="baseline_knows_urgency",
+            id="baseline_prefers_urgent_task",
         ),
         pytest.param(
             _trace([_FIRST, _SECOND, _CANCEL, _URGENT]),
             {("first", 0): 0.0, ("urgent", 0): 0.5},
-            id="cancelled_work_holds_its_place",
+            id="cancelled_job_keeps_its_place_in_queue",
         ),
         pytest.param(
             _trace([_FIRST, _GANG], cores=2),
             {("first", 0): 0.0, ("gang", 0): 1.0, ("gang", 1): 1.0},
-            id="gang_starts_in_part",
+            id="gang_starts_partially",
         ),
         pytest.param(
             _trace([_submit("large", 0.0, [1.0], need=[9000, 1, 0]), _SECOND]),
             {("large", 0): 70.0, ("second", 0): 0.0},
-            id="misfit_blocks_the_rest",
+            id="unplaceable_job_blocks_the_queue",
         ),
         pytest.param(
             _trace([_submit("long", 0.0, [5.0]), _FAIL, _SECOND]),
             {("long", 0): 0.0, ("second", 0): 3.0},
-            id="failed_worker_takes_work",
+            id="failed_worker_accepts_tasks",
         ),
     ],
 )
@@ -165,12 +166,12 @@
         assert found == pytest.approx(waits)
 
 
-def test_ours_serves_urgent_work_first() -> None:
+def test_scheduler_starts_urgent_task_first() -> None:
     waits = _replay.replay(_trace([_FIRST, _SECOND, _URGENT])).waits
     assert waits["urgent", 0] < waits["second", 0]
 
 
-def test_failed_workers_tasks_start_again() -> None:
+def test_tasks_of_failed_worker_restart_at_most_once() -> None:
     trace = _trace([_submit("long", 0.0, [5.0]), _FAIL], workers=2)
     for choose in _baselines.make_policies().values():
         assert _baselines.replay(trace, choose).starts <= 2
@@ -191,25 +192,25 @@
             _baselines.choose_first,
             [(1, 9), (4, 4), (9, 9)],
             1,
-            id="first_ignores_a_dimension",
+            id="first_fit_ignores_a_dimension",
         ),
         pytest.param(
             _baselines.choose_least_loaded,
             [(10, 3), (5, 5), (4, 10)],
             1,
-            id="least_loaded_looks_at_one_dimension",
+            id="least_loaded_compares_one_dimension_only",
         ),
         pytest.param(
             _baselines.make_choose_random(random.Random(1)),
             [(1, 1), (2, 9), (9, 1)],
             1,
-            id="random_takes_a_worker_without_room",
+            id="random_picks_a_full_worker",
         ),
         pytest.param(
             _baselines.choose_least_loaded,
             [(1, 9), (9, 1)],
             None,
-            id="misfit_is_placed",
+            id="unplaceable_need_is_placed",
         ),
     ],
 )
@@ -226,22 +227,24 @@
 @pytest.mark.parametrize(
     ("needs", "capacity", "expected"),
     [
-        pytest.param([], [4, 4, 0], 0, id="nothing_needs_a_worker"),
-        pytest.param([(1, 3, 0)] * 4, [4, 4, 0], 3, id="smaller_dimension"),
+        pytest.param([], [4, 4, 0], 0, id="no_needs_require_a_worker"),
+        pytest.param(
+            [(1, 3, 0)] * 4, [4, 4, 0], 3, id="less_demanded_dimension_decides"
+        ),
         pytest.param([(4, 0, 0)], [4, 4, 0], 1, id="exact_fit_needs_two"),
-        pytest.param([(1, 1, 1)] * 9, [9, 9, 2], 5, id="accelerators_missed"),
+        pytest.param([(1, 1, 1)] * 9, [9, 9, 2], 5, id="accelerators_ignored"),
     ],
 )
 def test_lower_bound(needs: list, capacity: list, expected: int) -> None:
     assert _policies.lower_bound(needs, capacity) == expected
 
 
-def test_hol_ratio_is_over_short_work_and_floored() -> None:
+def test_hol_ratio_covers_short_jobs_with_minimum_wait() -> None:
     def outcome(short_s: float, long_s: float) -> _replay.Outcome:
         return _replay.Outcome(
             waits={("a", 0): short_s, ("b", 0): long_s},
             arrivals={
-                "a": {"class": _policies.SHORT, "t": 0.0},
+                "a": {"class": _policies.SHORT_CLASS, "t": 0.0},
                 "b": {"class": "fulfilment", "t": 0.0},
             },
         )
@@ -250,7 +253,7 @@
     assert _policies.hol_ratio(outcome(0.0, 9.0), outcome(0.0, 1.0)) == 1.0
 
 
-def test_stragglers_are_taken_out_alone() -> None:
+def test_only_stragglers_are_shortened() -> None:
     events = [_submit("a", 0.0, [1.0, 200.0], slow=[1])]
     even = _traces.without_stragglers(_trace(events))
     assert even.events[0]["runs"] == [1.0, 4.0]
