--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -1,8 +1,8 @@
-"""Time of decisions on one core: the bare cell, and the whole pool filter.
+"""Decision latency on one core: the cell alone, and the whole pool filter.
 
-The pool filter includes queue, quotas, estimates, attempts and the journal's
-events, but no I/O. Each measured call reports one ended task, which makes room
-for one of the tasks that wait.
+The pool filter includes queue, quotas, estimates, attempts and journal events,
+but no I/O. Every measured call reports one finished task, which frees capacity
+for a waiting task.
 """
 
 import collections
@@ -18,14 +18,16 @@
 from chestnuttide import jobs
 from chestnuttide import model
 
-# Workers of both deployments today, and of the goal.
+# Numbers of workers: both deployments today (28), an intermediate size and
+# the size to be supported.
 CELL_SIZES = (28, 500, 2_500)
 LARGEST = CELL_SIZES[-1]
 TASKS_PER_WORKER = 24
-# Tasks of one job in the pool's filling, and how many jobs wait behind.
+# Tasks per job that fills the pool, and number of jobs that wait after it is
+# full.
 TASKS_PER_JOB = 100
 WAITING_JOBS = 60
-TURNOVERS = 2_000
+FINISHED_TASKS = 2_000
 TEAMS = 6
 SEED = 20
 NS_PER_MS = 1e6
@@ -34,16 +36,16 @@
 
 @attrs.frozen(kw_only=True)
 class Rate:
-    """Decisions of one size.
+    """Decision rate and latency at one cell size.
 
     Attributes
     ----------
     workers, running : int
-        Size of the cell.
+        Number of workers and of running tasks.
     per_s : float
         Placements per second.
     p50_ms, p99_ms : float
-        Time of a decision.
+        Latency of a decision.
     """
 
     workers: int
@@ -57,13 +59,13 @@
 class _Pool:
     state: jobs.PoolState
     running: dict[str, dict[model.Attempt, model.Resources]]
-    places: list[tuple[str, model.Attempt]] = attrs.Factory(list)
+    placements: list[tuple[str, model.Attempt]] = attrs.Factory(list)
     now: float = 0.0
     starts: int = 0
 
 
 def measure(_directory: pathlib.Path) -> list[_figures.Figure]:
-    """Return the figures of decisions."""
+    """Measure the decision figures at all cell sizes."""
     cells = [_measure_cell(each) for each in CELL_SIZES]
     pools = [measure_pool(each) for each in CELL_SIZES]
     return [
@@ -81,7 +83,7 @@
     p99_target: float | None,
     note: str,
 ) -> list[_figures.Figure]:
-    """Return rate, latency and growth of cells of ascending size."""
+    """Return rate, latency and growth for rates of ascending cell size."""
     last = rates[-1]
     others = rates[:-1]
     return [
@@ -125,16 +127,16 @@
 
 
 def measure_pool(workers: int) -> Rate:
-    """Measure the pool filter in a full pool in which tasks end."""
+    """Measure the pool filter in a full pool while tasks finish."""
     rng = random.Random(SEED)
     document = config.CellConfig(
         teams={f"team-{n}": config.TeamConfig() for n in range(TEAMS)},
         workload_classes={"usual": config.ClassConfig()},
-        # The pool is filled in no time, so no lease is to end meanwhile.
+        # The clock stands still while the pool fills, so no lease may expire.
         pool=config.PoolConfig(task_lease_s=100_000.0, long_share=1.0),
     )
     state = jobs.PoolState(document=document, rng=random.Random(SEED))
-    run = jobs.make_pool_filter(state=state)
+    pool_filter = jobs.make_pool_filter(state=state)
     instances = [_make_worker(number, rng) for number in range(workers)]
     pool = _Pool(
         state=state,
@@ -151,31 +153,31 @@
                 worker_id=each.instance_id, reports=(), sent_at=0.0
             )
         )
-    _run_all(pool, run, inbox)
+    _run_until_idle(pool, pool_filter, inbox)
     submitted = 0
     wanted = workers * TASKS_PER_WORKER
-    while len(pool.places) < wanted and submitted < 2 * wanted:
-        submitted += _submit(pool, run, inbox, rng, submitted)
-        _run_all(pool, run, inbox)
+    while len(pool.placements) < wanted and submitted < 2 * wanted:
+        submitted += _submit(pool, pool_filter, inbox, rng, submitted)
+        _run_until_idle(pool, pool_filter, inbox)
     for _ in range(WAITING_JOBS):
-        submitted += _submit(pool, run, inbox, rng, submitted)
-    _run_all(pool, run, inbox)
-    running = len(pool.places)
+        submitted += _submit(pool, pool_filter, inbox, rng, submitted)
+    _run_until_idle(pool, pool_filter, inbox)
+    running = len(pool.placements)
     before = pool.starts
     total_ns = 0
     decisions_ms: list[float] = []
-    for _ in range(TURNOVERS):
-        report = _end_one(pool, rng)
+    for _ in range(FINISHED_TASKS):
+        report = _finish_random_task(pool, rng)
         inbox.append(report)
         placed = pool.starts
-        taken_ns = _run_all(pool, run, inbox)
-        total_ns += taken_ns
+        elapsed_ns = _run_until_idle(pool, pool_filter, inbox)
+        total_ns += elapsed_ns
         placed = pool.starts - placed
         if placed:
-            decisions_ms.append(taken_ns / placed / NS_PER_MS)
+            decisions_ms.append(elapsed_ns / placed / NS_PER_MS)
         if not state.queue.items:
-            _submit(pool, run, inbox, rng, submitted)
-            _run_all(pool, run, inbox)
+            _submit(pool, pool_filter, inbox, rng, submitted)
+            _run_until_idle(pool, pool_filter, inbox)
     return Rate(
         workers=workers,
         running=running,
@@ -215,12 +217,12 @@
 
 def _submit(
     pool: _Pool,
-    run: object,
+    pool_filter: object,
     inbox: collections.deque[object],
     rng: random.Random,
     number: int,
 ) -> int:
-    """Queue a job; return its number of tasks."""
+    """Submit a job and return its number of tasks."""
     cpu_millis = rng.choice((250, 500, 1_000, 1_500, 2_000, 4_000))
     job = model.Job(
         job_id=f"job-{number}-{len(pool.state.jobs)}",
@@ -238,12 +240,12 @@
     return TASKS_PER_JOB
 
 
-def _end_one(pool: _Pool, rng: random.Random) -> jobs.SyncReport:
-    """Return the report of a worker on which a random task has ended."""
-    position = rng.randrange(len(pool.places))
-    worker_id, ended = pool.places[position]
-    pool.places[position] = pool.places[-1]
-    pool.places.pop()
+def _finish_random_task(pool: _Pool, rng: random.Random) -> jobs.SyncReport:
+    """Finish a random task and return the report of its worker."""
+    position = rng.randrange(len(pool.placements))
+    worker_id, ended = pool.placements[position]
+    pool.placements[position] = pool.placements[-1]
+    pool.placements.pop()
     running = pool.running[worker_id]
     need = running.pop(ended)
     reports = [
@@ -269,30 +271,30 @@
     )
 
 
-def _run_all(
-    pool: _Pool, run: object, inbox: collections.deque[object]
+def _run_until_idle(
+    pool: _Pool, pool_filter: object, inbox: collections.deque[object]
 ) -> int:
-    """Run the filter until nothing follows; return its nanoseconds."""
-    taken_ns = 0
+    """Run the filter until it is idle; return the time in ns."""
+    elapsed_ns = 0
     while True:
         if not inbox:
             if not jobs.is_busy(pool.state, pool.now):
-                return taken_ns
+                return elapsed_ns
             inbox.append(jobs.Tick())
         message = inbox.popleft()
-        begin = time.perf_counter_ns()
-        outputs = run(message, pool.now)
-        taken_ns += time.perf_counter_ns() - begin
-        durable = []
+        start_ns = time.perf_counter_ns()
+        outputs = pool_filter(message, pool.now)
+        elapsed_ns += time.perf_counter_ns() - start_ns
+        durable_tokens = []
         for output in outputs:
             match output:
                 case jobs.AppendEvent():
-                    durable.append(output.token)
+                    durable_tokens.append(output.token)
                 case jobs.StartTask():
                     pool.starts += 1
                     running = pool.running[output.worker_id]
                     running[output.attempt] = output.resources
-                    pool.places.append((output.worker_id, output.attempt))
+                    pool.placements.append((output.worker_id, output.attempt))
                     inbox.append(
                         jobs.StartResult(
                             worker_id=output.worker_id,
@@ -301,5 +303,5 @@
                             sent_at=pool.now,
                         )
                     )
-        if durable:
-            inbox.append(jobs.JournalDurable(tokens=tuple(durable)))
+        if durable_tokens:
+            inbox.append(jobs.JournalDurable(tokens=tuple(durable_tokens)))
--- a/bench/_figures.py
+++ b/bench/_figures.py
@@ -1,4 +1,4 @@
-"""Figures: arithmetic, the printed table and the JSON lines."""
+"""Figures: statistics, the printed table and the JSON lines."""
 
 import collections.abc
 import json
@@ -22,27 +22,27 @@
     name : str
         Name of the figure.
     ours : float or None
-        What was measured; None if nothing was.
+        Measured value; None if the measurement gave none.
     unit : str
-        Its unit.
+        Unit of the value.
     baselines : dict of str to float
-        The same measured for others in the same run.
+        Values of the alternatives, measured in the same run.
     target : float or None
-        The goal; None for a figure without one.
+        Value to reach; None for a figure without a target.
     higher_is_better : bool
         Whether the target is a lower bound.
     command : str
-        What measures it alone.
+        Command that measures this figure.
     points : list
-        The single measurements, or points of a curve.
+        Individual measurements, or points of a curve.
     spread : list of float
-        Smallest and largest single measurement.
+        Smallest and largest individual measurement.
     load : float
         Load average of the machine over the last minute.
     note : str
-        How it was counted, or what limits it.
+        How the value was determined, or what limits it.
     brief : bool
-        Whether the table has one line for it and its baselines.
+        Whether the table prints the figure and its baselines in one line.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 
 def percentile(values: collections.abc.Collection[float], q: float) -> float:
-    """Return the smallest value that `q` percent do not exceed.
+    """Return the smallest value that `q` percent of values do not exceed.
 
     Raises
     ------
@@ -74,7 +74,7 @@
 
 
 def ratio(numerator: float, denominator: float) -> float:
-    """Return the quotient; infinity for a quotient by 0, 1 for 0 by 0."""
+    """Return the quotient; infinity for division by 0, 1 for 0 by 0."""
     if denominator:
         return numerator / denominator
     return math.inf if numerator else 1.0
@@ -103,22 +103,24 @@
     return "met" if figure.ours <= figure.target else "missed"
 
 
-def from_tries(
-    name: str, tries: list[float], unit: str, **fields: typing.Any
+def from_samples(
+    name: str, values: list[float], unit: str, **fields: typing.Any
 ) -> Figure:
-    """Return the median of several tries, with their spread."""
+    """Return a figure with the median and the spread of values."""
     return Figure(
         name=name,
-        ours=statistics.median(tries) if tries else None,
+        ours=statistics.median(values) if values else None,
         unit=unit,
-        points=[round(each, 4) for each in tries],
-        spread=[round(min(tries), 4), round(max(tries), 4)] if tries else [],
+        points=[round(each, 4) for each in values],
+        spread=[round(min(values), 4), round(max(values), 4)]
+        if values
+        else [],
         **fields,
     )
 
 
 def to_line(figure: Figure) -> str:
-    """Return a figure as one line of JSON."""
+    """Format a figure as one line of JSON."""
     document: dict[str, typing.Any] = {
         "name": figure.name,
         "ours": _finite(figure.ours),
@@ -141,37 +143,37 @@
 def write_lines(
     path: pathlib.Path, figures: collections.abc.Iterable[Figure]
 ) -> None:
-    """Write a file of JSON lines."""
+    """Write figures to a file of JSON lines."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text("".join(to_line(each) + "\n" for each in figures))
 
 
 def render(figure: Figure) -> str:
-    """Return the table row of a figure, with bars for its baselines."""
+    """Format the table rows of a figure, with bars for its values."""
     if figure.brief:
         others = "".join(
-            f" {name} {_number(value)}"
+            f" {name} {_format(value)}"
             for name, value in figure.baselines.items()
         )
         return (
-            f"{figure.name:38}{_number(figure.ours):>10} {figure.unit:10}"
+            f"{figure.name:38}{_format(figure.ours):>10} {figure.unit:10}"
             f"{others}"
         )
     mark = {"met": "ok", "missed": "MISSED", "": ""}[verdict(figure)]
-    goal = ""
+    target_text = ""
     if figure.target is not None:
         sign = ">=" if figure.higher_is_better else "<="
-        goal = f"{sign} {figure.target:g}"
+        target_text = f"{sign} {figure.target:g}"
     scale = max(
-        [_size(figure.ours), _size(figure.target)]
-        + [_size(each) for each in figure.baselines.values()]
+        [_finite_or_zero(figure.ours), _finite_or_zero(figure.target)]
+        + [_finite_or_zero(each) for each in figure.baselines.values()]
     )
     rows = [
-        f"{figure.name:38}{_number(figure.ours):>10} {figure.unit:10}"
-        f"{goal:>11} {mark:7}|{_bar(figure.ours, scale)}"
+        f"{figure.name:38}{_format(figure.ours):>10} {figure.unit:10}"
+        f"{target_text:>11} {mark:7}|{_bar(figure.ours, scale)}"
     ]
     rows += [
-        f"{'  ' + name:38}{_number(value):>10} {figure.unit:10}"
+        f"{'  ' + name:38}{_format(value):>10} {figure.unit:10}"
         f"{'':19}|{_bar(value, scale)}"
         for name, value in figure.baselines.items()
     ]
@@ -181,17 +183,17 @@
 
 
 def _finite(value: float | None) -> float | None:
-    """Return a value that JSON can hold."""
+    """Round a value for JSON; return None if it is not finite."""
     if value is None or not math.isfinite(value):
         return None
     return float(f"{value:.6g}")
 
 
-def _size(value: float | None) -> float:
+def _finite_or_zero(value: float | None) -> float:
     return _finite(value) or 0.0
 
 
-def _number(value: float | None) -> str:
+def _format(value: float | None) -> str:
     if value is None:
         return "-"
     if abs(value) >= 100:
@@ -202,4 +204,4 @@
 def _bar(value: float | None, scale: float) -> str:
     if not scale:
         return ""
-    return "#" * round(BAR_WIDTH * _size(value) / scale)
+    return "#" * round(BAR_WIDTH * _finite_or_zero(value) / scale)
--- a/bench/_placement_rate.py
+++ b/bench/_placement_rate.py
@@ -1,7 +1,7 @@
 """Rate and latency of placement decisions on one core.
 
-Each case fills a cell of mixed workers until nothing more fits, and then
-replaces tasks at random, so that every decision meets a full cell. Run
+Most cases fill a cell of mixed workers until no further task fits and then
+measure decisions in the full cell. Run
 ``python -m bench._placement_rate`` for a table of all cases.
 """
 
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PlacementFigures:
-    """What one case measured.
+    """Results of one case.
 
     Attributes
     ----------
@@ -58,14 +58,14 @@
     workers : int
         Number of workers.
     running : int
-        Tasks that run when the measurement starts.
+        Running tasks when the measurement starts.
     per_s : float
-        Decisions per second, each with its reservation if it finds a worker.
+        Decisions per second, including the reservation if a worker is found.
     replaced_per_s : float
-        The same, each with the release of the task that it replaces; 0 where
-        no tasks are replaced.
+        The same, including the release of the replaced task; 0 in cases that
+        replace no tasks.
     p50_ms, p99_ms, max_ms : float
-        Latency of a decision with its reservation.
+        Latency of a decision, including the reservation.
     placed_share : float
         Share of the decisions that found a worker.
     """
@@ -84,7 +84,7 @@
 def fill_cell(
     workers: int, rng: random.Random, *, preemptible: float = 0.5
 ) -> tuple[placement.Cell, list[model.Attempt]]:
-    """Return a cell without room for another task of usual size."""
+    """Return a cell that is full for tasks of usual size."""
     cell = placement.make_cell()
     for number in range(workers):
         capacity = rng.choices(
@@ -115,7 +115,7 @@
 def measure_turnover(
     workers: int, *, spread: float = 0.0, service_tasks: int = SERVICE_TASKS
 ) -> PlacementFigures:
-    """Measure placements in a full cell in which tasks end at random.
+    """Measure placements in a full cell while random tasks finish.
 
     Parameters
     ----------
@@ -133,7 +133,7 @@
         for _ in range(max(1, int(DECISIONS * spread) // service_tasks))
     ]
     needs = [_draw_need(rng) for _ in range(DECISIONS)]
-    ends = [rng.random() for _ in range(DECISIONS)]
+    end_positions = [rng.random() for _ in range(DECISIONS)]
     chosen_counts = [
         rng.choice(services) if rng.random() < spread else None
         for _ in range(DECISIONS)
@@ -146,25 +146,25 @@
     for number in range(DECISIONS):
         attempt = model.Attempt(job_id="turnover", index=number, number=1)
         counts = chosen_counts[number]
-        begin = time.perf_counter_ns()
-        position = int(ends[number] * len(running))
+        start_ns = time.perf_counter_ns()
+        position = int(end_positions[number] * len(running))
         ended = running[position]
         running[position] = running[-1]
         running.pop()
         placement.release(cell, ended)
-        middle = time.perf_counter_ns()
+        released_ns = time.perf_counter_ns()
         found = _place(cell, attempt, needs[number], counts=counts)
-        end = time.perf_counter_ns()
-        busy_ns += end - middle
-        release_ns += middle - begin
-        latency.record_value(end - middle)
+        end_ns = time.perf_counter_ns()
+        busy_ns += end_ns - released_ns
+        release_ns += released_ns - start_ns
+        latency.record_value(end_ns - released_ns)
         if found:
             placed += 1
             running.append(attempt)
             if counts is not None:
                 placement.count_task(cell, counts, found)
     kind = f"services of {service_tasks}" if spread else "packed"
-    return _figures(
+    return _make_figures(
         f"full, {kind}, {spread:.0%} spread",
         (workers, count),
         DECISIONS * NS_PER_S / busy_ns,
@@ -177,49 +177,49 @@
 def measure_fill(workers: int) -> PlacementFigures:
     """Measure placements from an empty cell until it is full."""
     rng = random.Random(SEED)
-    cell, _running = fill_cell(workers, rng)
-    for attempt in _running:
+    cell, filled = fill_cell(workers, rng)
+    for attempt in filled:
         placement.release(cell, attempt)
     latency = histogram.HdrHistogram(1, HIGHEST_NS, DIGITS)
     busy_ns = 0
     placed = 0
-    for number in range(len(_running)):
+    for number in range(len(filled)):
         need = _draw_need(rng)
         attempt = model.Attempt(job_id="fill", index=number, number=1)
-        begin = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         found = _place(cell, attempt, need, counts=None)
-        taken = time.perf_counter_ns() - begin
-        busy_ns += taken
-        latency.record_value(taken)
+        elapsed_ns = time.perf_counter_ns() - start_ns
+        busy_ns += elapsed_ns
+        latency.record_value(elapsed_ns)
         placed += found is not None
-    return _figures(
+    return _make_figures(
         "from empty to full, packed",
         (workers, 0),
-        len(_running) * NS_PER_S / busy_ns,
+        len(filled) * NS_PER_S / busy_ns,
         latency,
-        placed / len(_running),
+        placed / len(filled),
     )
 
 
 def measure_refusals(workers: int, *, spread: bool) -> PlacementFigures:
-    """Measure decisions that find nothing in a full cell."""
+    """Measure decisions that find no worker in a full cell."""
     rng = random.Random(SEED)
     cell, running = fill_cell(workers, rng)
-    frees = [
+    free_capacities = [
         placement.free_of(cell, worker_id)
         for worker_id in placement.worker_ids(cell)
     ]
-    # What is free on one worker, and a little more memory than there is.
+    # Slightly more than the free capacity of a random worker.
     needs = []
     while len(needs) < REFUSALS:
-        free = rng.choice(frees)
+        free = rng.choice(free_capacities)
         need = model.Resources(
             cpu_millis=free.cpu_millis + rng.randrange(1_000),
             memory_mb=free.memory_mb + rng.randrange(1, 4_000),
         )
-        if not any(model.fits(need, other) for other in frees):
+        if not any(model.fits(need, other) for other in free_capacities):
             needs.append(need)
-    return _refuse(
+    return _measure_refused(
         f"full, {'spread' if spread else 'packed'}, nothing fits",
         cell,
         needs,
@@ -228,10 +228,10 @@
 
 
 def measure_opposed(workers: int, *, spread: bool) -> PlacementFigures:
-    """Measure the hardest refusals for an index of one dimension.
+    """Measure refusals in the worst case for a one-dimensional index.
 
-    The more processors a worker has free, the less memory, and each need lies
-    just beyond one of the workers.
+    The more free processors a worker has, the less free memory it has, and
+    every need slightly exceeds the free capacity of one worker.
     """
     rng = random.Random(SEED)
     cell, _none = fill_cell(0, rng)
@@ -257,7 +257,7 @@
                 memory_mb=number * step + 1,
             )
         )
-    return _refuse(
+    return _measure_refused(
         f"opposed, {'spread' if spread else 'packed'}, nothing fits",
         cell,
         needs,
@@ -266,7 +266,7 @@
 
 
 def measure_victims(workers: int) -> PlacementFigures:
-    """Measure the choice of attempts to evict in a full cell."""
+    """Measure the selection of attempts to evict in a full cell."""
     rng = random.Random(SEED)
     cell, running = fill_cell(workers, rng)
     latency = histogram.HdrHistogram(1, HIGHEST_NS, DIGITS)
@@ -274,15 +274,15 @@
     found = 0
     for _ in range(VICTIMS):
         need = _draw_need(rng)
-        begin = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         victims = placement.choose_victims(
             cell, need=need, priority=5, now=0.0, excluded=frozenset()
         )
-        taken = time.perf_counter_ns() - begin
-        busy_ns += taken
-        latency.record_value(taken)
+        elapsed_ns = time.perf_counter_ns() - start_ns
+        busy_ns += elapsed_ns
+        latency.record_value(elapsed_ns)
         found += victims is not None
-    return _figures(
+    return _make_figures(
         "full, victims",
         (workers, len(running)),
         VICTIMS * NS_PER_S / busy_ns,
@@ -292,7 +292,7 @@
 
 
 def measure_gangs(workers: int, *, planned: bool) -> PlacementFigures:
-    """Measure choosing (or planning a reservation for) gangs of 64 tasks."""
+    """Measure placing, or planning reservations for, gangs of 64 tasks."""
     rng = random.Random(SEED)
     cell, running = fill_cell(workers, rng)
     latency = histogram.HdrHistogram(1, HIGHEST_NS, DIGITS)
@@ -301,7 +301,7 @@
     rounds = 20
     need = model.Resources(cpu_millis=8_000, memory_mb=8_192)
     for _ in range(rounds):
-        begin = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         if planned:
             gang: object = placement.plan_gang_reservation(
                 cell, need=need, count=64, now=0.0, limit_s=30.0
@@ -315,11 +315,11 @@
                 excluded=frozenset(),
                 now=0.0,
             )
-        taken = time.perf_counter_ns() - begin
-        busy_ns += taken
-        latency.record_value(taken)
+        elapsed_ns = time.perf_counter_ns() - start_ns
+        busy_ns += elapsed_ns
+        latency.record_value(elapsed_ns)
         found += gang is not None
-    return _figures(
+    return _make_figures(
         f"full, gang of 64, {'planned' if planned else 'now'}",
         (workers, len(running)),
         rounds * NS_PER_S / busy_ns,
@@ -329,7 +329,7 @@
 
 
 def measure_all() -> collections.abc.Iterator[PlacementFigures]:
-    """Yield the figures of all cases."""
+    """Measure all cases and yield their results."""
     for workers in WORKER_COUNTS:
         yield measure_fill(workers)
         yield measure_turnover(workers)
@@ -346,7 +346,7 @@
 
 
 def main() -> None:
-    """Print the figures of all cases."""
+    """Measure all cases and print a table."""
     sys.stdout.write(
         f"{'case':40}{'workers':>8}{'running':>8}{'per s':>9}{'replaced':>9}"
         f"{'p50 ms':>8}{'p99 ms':>8}{'max ms':>8}{'placed':>7}\n"
@@ -382,7 +382,7 @@
     return worker_id
 
 
-def _refuse(
+def _measure_refused(
     case: str,
     cell: placement.Cell,
     needs: list[model.Resources],
@@ -397,7 +397,7 @@
     busy_ns = 0
     counts = placement.SpreadCounts() if spread else None
     for need in needs:
-        begin = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         found = placement.choose_worker(
             cell,
             need=need,
@@ -406,12 +406,12 @@
             excluded=frozenset(),
             now=0.0,
         )
-        taken = time.perf_counter_ns() - begin
+        elapsed_ns = time.perf_counter_ns() - start_ns
         if found is not None:
-            raise AssertionError("a need that fits nowhere was placed")
-        busy_ns += taken
-        latency.record_value(taken)
-    return _figures(
+            raise AssertionError("placed a need that fits on no worker")
+        busy_ns += elapsed_ns
+        latency.record_value(elapsed_ns)
+    return _make_figures(
         case,
         (placement.worker_count(cell), running),
         len(needs) * NS_PER_S / busy_ns,
@@ -421,7 +421,7 @@
 
 
 def _draw_need(rng: random.Random) -> model.Resources:
-    """Return a need near a 24th of an average worker, some much larger."""
+    """Draw a need of about 1/24 of an average worker, some much larger."""
     cpu = rng.choice((250, 500, 1_000, 1_500, 2_000, 4_000))
     accelerators = rng.choice((0, 0, 0, 0, 0, 0, 0, 1, 1, 2))
     memory = int(cpu * rng.uniform(0.5, 4.0))
@@ -473,7 +473,7 @@
     )
 
 
-def _figures(
+def _make_figures(
     case: str,
     size: tuple[int, int],
     per_s: float,
--- a/bench/_request_path.py
+++ b/bench/_request_path.py
@@ -126,7 +126,7 @@
     """
     pairs = list(zip(rounds["ours"], rounds["bare"], strict=True))
     figures = [
-        _figures.from_tries(
+        _figures.from_samples(
             "request_path_ratio",
             [ours.per_cpu_s / bare.per_cpu_s for ours, bare in pairs],
             "ratio",
@@ -137,7 +137,7 @@
             " runners not counted; a profile shows tornado's server in the"
             " entry and curl in the scheduler as the largest parts",
         ),
-        _figures.from_tries(
+        _figures.from_samples(
             "request_path_ratio_with_runners",
             [
                 ours.per_cpu_s_with_runners / bare.per_cpu_s_with_runners
--- a/bench/_takeovers.py
+++ b/bench/_takeovers.py
@@ -42,7 +42,7 @@
             if size == SIZES[-1]:
                 tries = [_time_patch(cell, ids, n) for n in range(PATCHES)]
                 figures.append(
-                    _figures.from_tries(
+                    _figures.from_samples(
                         f"config_in_force_s_{size}",
                         tries,
                         "s",
@@ -62,7 +62,7 @@
             ]
         suffix = "" if size == SIZES[-1] else f"_{size}"
         figures += [
-            _figures.from_tries(
+            _figures.from_samples(
                 f"failover{suffix}_s",
                 kills,
                 "s",
@@ -72,7 +72,7 @@
                 " then has a task on a worker; worst"
                 f" {max(kills):.2f}",
             ),
-            _figures.from_tries(
+            _figures.from_samples(
                 f"failover_paused{suffix}_s",
                 pauses,
                 "s",
--- a/bench/tests/test_figures.py
+++ b/bench/tests/test_figures.py
@@ -55,7 +55,7 @@
 
 
 def test_lines_have_the_agreed_fields() -> None:
-    figure = _figures.from_tries(
+    figure = _figures.from_samples(
         "failover_s",
         [2.0, 1.0, 4.0],
         "s",
