--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Measures everything, or the parts that are named as arguments."""
+"""Runs all measurements, or those named as arguments."""
 
 import os
 import pathlib
@@ -24,7 +24,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Print the table and write the JSON lines."""
+    """Run the measurements, print a table and write JSON lines."""
     unknown = set(arguments) - set(PARTS)
     if unknown:
         print(f"unknown parts {sorted(unknown)}; known: {', '.join(PARTS)}")
@@ -34,7 +34,7 @@
     started = time.monotonic()
     for part in arguments or PARTS:
         load = os.getloadavg()[0]
-        begin = time.monotonic()
+        part_started = time.monotonic()
         try:
             with tempfile.TemporaryDirectory(prefix="bench-") as directory:
                 found = PARTS[part](pathlib.Path(directory))
@@ -42,8 +42,8 @@
             failed.append(part)
             print(f"== {part}: failed: {error}", flush=True)
             continue
-        took_s = time.monotonic() - begin
-        print(f"== {part}, {took_s:.0f} s, load {load:.1f}")
+        elapsed_s = time.monotonic() - part_started
+        print(f"== {part}, {elapsed_s:.0f} s, load {load:.1f}")
         for figure in found:
             print(_figures.render(figure), flush=True)
         figures += found
--- a/bench/_control_cost.py
+++ b/bench/_control_cost.py
@@ -1,10 +1,11 @@
-"""What the daemons of an idle cell use, at three sizes.
+"""Resource use of the daemons of an idle cell, at three sizes.
 
-The cell has workers, a service with runners and a config, and no work. CPU
-and memory are those of the daemon that uses most. Bytes are those of the kind
-of daemon that uses more: the payload that the mesh counters show, sent and
-received, plus its share of the HTTP bytes to and from store and instance list,
-counted in a relay before them. Calls to workers and runners are left out.
+The cell has workers, a service with runners and a config, but runs no tasks.
+CPU and memory are those of the daemon that uses most. Bytes are those of the
+kind of daemon that uses more: the payload sent and received according to the
+mesh counters, plus its share of the HTTP bytes to and from the store and the
+instance list, which relays in front of them count. Calls to workers and
+runners are not counted.
 """
 
 import pathlib
@@ -22,7 +23,7 @@
 
 SIZES = (3, 8, 24)
 WINDOW_S = 10.0
-# Pause until the takeovers and the first exchanges are over.
+# Delay until the takeovers and the initial message exchanges are complete.
 SETTLE_S = 3.0
 KINDS = ("scheduler", "entry")
 COMMAND = "python -m bench control_cost"
@@ -30,28 +31,28 @@
 
 @attrs.frozen(kw_only=True)
 class Cost:
-    """What one size uses.
+    """Resource use of a cell of one size.
 
     Attributes
     ----------
     instances : int
         Number of instances, with two daemons each.
     cpu_percent : dict of str to float
-        Mean CPU of a daemon by kind, in percent of a core.
+        Mean CPU use per daemon, by kind, in percent of a core.
     cpu_percent_max : float
-        CPU of the daemon that uses most.
+        CPU use of the daemon that uses most.
     rss_mb : float
-        Largest resident memory of a daemon.
+        Resident memory of the daemon that uses most.
     mesh_bytes_per_s : dict of str to float
-        Mean mesh bytes of a daemon by kind.
+        Mean mesh bytes per daemon, by kind.
     store_bytes_per_s : float
-        HTTP bytes of the store, per scheduler.
+        HTTP bytes to and from the store, per scheduler.
     list_bytes_per_s : float
-        HTTP bytes of the instance list, per daemon.
+        HTTP bytes to and from the instance list, per daemon.
     store_calls_per_s : dict of str to float
-        Calls of all instances together, by kind.
+        Store calls of all instances together, by kind.
     load : float
-        Load average.
+        Load average of the machine.
     """
 
     instances: int
@@ -66,14 +67,14 @@
 
 
 def measure(directory: pathlib.Path) -> list[_figures.Figure]:
-    """Return the figures of the control cost."""
+    """Measure the control cost at all sizes."""
     return make_figures(
         [_measure_size(directory / str(size), size) for size in SIZES]
     )
 
 
 def bytes_per_s(cost: Cost, kind: str) -> float:
-    """Return all bytes of a daemon of a kind."""
+    """Return the bytes per second of a daemon of a kind."""
     platform = cost.list_bytes_per_s
     if kind == "scheduler":
         platform += cost.store_bytes_per_s
@@ -81,7 +82,7 @@
 
 
 def make_figures(costs: list[Cost]) -> list[_figures.Figure]:
-    """Return the figures of the largest size and the slopes."""
+    """Return the figures of the largest size, and their slopes."""
     last = costs[-1]
     size = last.instances
     figures = []
@@ -123,7 +124,8 @@
         lambda cost: cost.cpu_percent_max,
         3.7,
         "%",
-        "the daemon that uses most; means: " + _join(last.cpu_percent),
+        "the daemon that uses most; means: "
+        + _format_values(last.cpu_percent),
     )
     add(
         "control_rss_mb",
@@ -138,7 +140,7 @@
         9000,
         "B/s",
         "mesh "
-        + _join(last.mesh_bytes_per_s)
+        + _format_values(last.mesh_bytes_per_s)
         + f"; store per scheduler {last.store_bytes_per_s:.0f}"
         + f"; instance list per daemon {last.list_bytes_per_s:.0f}",
     )
@@ -147,16 +149,16 @@
         lambda cost: sum(cost.store_calls_per_s.values()),
         100,
         "1/s",
-        _join(last.store_calls_per_s)
+        _format_values(last.store_calls_per_s)
         + "; watches that wait for longer than the window are not in it",
     )
     return figures
 
 
-def difference(
+def counter_rates(
     before: dict[str, float], after: dict[str, float], seconds: float
 ) -> dict[str, float]:
-    """Return the rates of counters that grew."""
+    """Return the rates of the counters that changed."""
     return {
         name: (value - before.get(name, 0)) / seconds
         for name, value in after.items()
@@ -164,13 +166,13 @@
     }
 
 
-def _join(values: dict[str, float]) -> str:
+def _format_values(values: dict[str, float]) -> str:
     return ", ".join(
-        f"{name} {_round(value)}" for name, value in values.items()
+        f"{name} {_format_value(value)}" for name, value in values.items()
     )
 
 
-def _round(value: float) -> str:
+def _format_value(value: float) -> str:
     return f"{value:.0f}" if value >= 100 else f"{value:.3g}"
 
 
@@ -186,23 +188,23 @@
         store_port = next(iter(cell.store.ports.values()))
         list_port = next(iter(cell.instance_list.ports.values()))
         with (
-            _relay.relaying(store_port) as store,
-            _relay.relaying(list_port) as listing,
+            _relay.relaying(store_port) as store_relay,
+            _relay.relaying(list_port) as list_relay,
         ):
-            # The daemons' settings name the relays.
+            # Daemons started from here on connect to the relays.
             ports = cell.store.ports, cell.instance_list.ports
-            cell.store.ports = {next(iter(ports[0])): store.port}
-            cell.instance_list.ports = {next(iter(ports[1])): listing.port}
+            cell.store.ports = {next(iter(ports[0])): store_relay.port}
+            cell.instance_list.ports = {next(iter(ports[1])): list_relay.port}
             ids = _processes.start_instances(cell, size)
             time.sleep(SETTLE_S)
-            return _measure_window(cell, ids, store, listing)
+            return _measure_window(cell, ids, store_relay, list_relay)
 
 
 def _measure_window(
     cell: cell_module.Cell,
     ids: list[str],
-    store: _relay.Relay,
-    listing: _relay.Relay,
+    store_relay: _relay.Relay,
+    list_relay: _relay.Relay,
 ) -> Cost:
     pids = {
         kind: [
@@ -224,29 +226,29 @@
                 )
         return totals
 
-    # The metrics are read outside of the CPU's window, because reading them
-    # uses CPU of the daemons.
-    mesh_begin = time.monotonic()
+    # Metrics are read outside the CPU window, because serving them uses CPU
+    # time of the daemons.
+    mesh_start = time.monotonic()
     mesh_before = read_bytes()
     calls_before = harness_module.evidence(cell.store)["counts"]
-    relayed = [store.bytes_up + store.bytes_down]
-    relayed.append(listing.bytes_up + listing.bytes_down)
+    relayed = [store_relay.bytes_up + store_relay.bytes_down]
+    relayed.append(list_relay.bytes_up + list_relay.bytes_down)
     cpu_before = {
         kind: [_processes.cpu_s(pid) for pid in pids[kind]] for kind in KINDS
     }
-    begin = time.monotonic()
+    start = time.monotonic()
     time.sleep(WINDOW_S)
     cpu = {
         kind: [
-            _processes.cpu_s(pid) - former
-            for pid, former in zip(pids[kind], cpu_before[kind], strict=True)
+            _processes.cpu_s(pid) - before
+            for pid, before in zip(pids[kind], cpu_before[kind], strict=True)
         ]
         for kind in KINDS
     }
-    seconds = time.monotonic() - begin
+    seconds = time.monotonic() - start
     calls_after = harness_module.evidence(cell.store)["counts"]
-    store_bytes = store.bytes_up + store.bytes_down - relayed[0]
-    list_bytes = listing.bytes_up + listing.bytes_down - relayed[1]
+    store_bytes = store_relay.bytes_up + store_relay.bytes_down - relayed[0]
+    list_bytes = list_relay.bytes_up + list_relay.bytes_down - relayed[1]
     mesh_end = time.monotonic()
     mesh_after = read_bytes()
     count = len(ids)
@@ -262,11 +264,11 @@
         mesh_bytes_per_s={
             kind: (mesh_after[kind] - mesh_before[kind])
             / count
-            / (mesh_end - mesh_begin)
+            / (mesh_end - mesh_start)
             for kind in KINDS
         },
         store_bytes_per_s=store_bytes / seconds / count,
         list_bytes_per_s=list_bytes / seconds / (2 * count),
-        store_calls_per_s=difference(calls_before, calls_after, seconds),
+        store_calls_per_s=counter_rates(calls_before, calls_after, seconds),
         load=_figures.Figure(name="", ours=None, unit="").load,
     )
--- a/bench/_forwarder.py
+++ b/bench/_forwarder.py
@@ -1,6 +1,6 @@
-"""The request path's baseline: a handler that forwards by the curl client.
+"""Baseline of the request path: a forwarder that uses the curl client.
 
-Nothing is queued, counted, checked or retried.
+It does not queue, count, check or retry requests.
 """
 
 import argparse
@@ -13,19 +13,19 @@
 
 
 class ForwardHandler(web.RequestHandler):
-    """Forwards each body to the next target."""
+    """Forwards request bodies to the targets in turn."""
 
     def initialize(
         self,
         client: curl_httpclient.CurlAsyncHTTPClient,
         urls: "itertools.cycle[str]",
     ) -> None:
-        """Keep the client and the targets."""
+        """Store the client and the target URLs."""
         self._client = client
         self._urls = urls
 
     async def post(self) -> None:
-        """Forward one request."""
+        """Forward a request to the next target."""
         response = await self._client.fetch(
             next(self._urls),
             method="POST",
@@ -37,7 +37,7 @@
 
 
 async def serve(port: int, targets: list[str]) -> None:
-    """Serve for ever."""
+    """Serve until the process is stopped."""
     client = curl_httpclient.CurlAsyncHTTPClient(
         force_instance=True, max_clients=1024
     )
--- a/bench/_processes.py
+++ b/bench/_processes.py
@@ -1,4 +1,4 @@
-"""What processes use, from /proc, and cells of daemons for measurements."""
+"""Resource use of processes from /proc, and cells to be measured."""
 
 import os
 import pathlib
@@ -8,7 +8,7 @@
 from standins import cell as cell_module
 from standins import harness as harness_module
 
-# Config of all measured cells.
+# Default config of the measured cells.
 CONFIG: typing.Final[dict[str, typing.Any]] = {
     "services": {
         "layout": {
@@ -23,18 +23,18 @@
 SHARDS: typing.Final = ("requests/layout/0", "workers/0")
 
 _TICKS_PER_S: typing.Final = os.sysconf("SC_CLK_TCK")
-_MB: typing.Final = 1024
+_KB_PER_MB: typing.Final = 1024
 _SAMPLE = re.compile(r"^(\w+)(?:\{(.*)\})? (\S+)$")
 
 
 def cpu_s(pid: int) -> float:
-    """Return the CPU seconds of a process so far, user and system."""
+    """Return the user and system CPU seconds used by a process."""
     return parse_cpu_s(pathlib.Path(f"/proc/{pid}/stat").read_text())
 
 
 def parse_cpu_s(stat: str) -> float:
-    """Return the CPU seconds in the text of /proc/<pid>/stat."""
-    # The name in parentheses may hold spaces and parentheses.
+    """Parse the CPU seconds from the text of /proc/<pid>/stat."""
+    # The command name in parentheses may contain spaces and parentheses.
     fields = stat.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
@@ -43,28 +43,28 @@
     """Return the resident memory of a process in megabytes."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            return int(line.split()[1]) / _MB
+            return int(line.split()[1]) / _KB_PER_MB
     return 0.0
 
 
 def parse_metrics(text: str) -> dict[tuple[str, str], float]:
-    """Return the samples of a Prometheus text by name and labels."""
-    found = {}
+    """Parse the Prometheus text format; keys are name and labels."""
+    samples = {}
     for line in text.splitlines():
         match = _SAMPLE.match(line)
         if match is not None:
-            found[match[1], match[2] or ""] = float(match[3])
-    return found
+            samples[match[1], match[2] or ""] = float(match[3])
+    return samples
 
 
 def read_metrics(port: int) -> dict[tuple[str, str], float]:
-    """Return the samples of a daemon's metrics port."""
+    """Read the samples from the metrics port of a daemon."""
     _status, body = harness_module.call(port, "GET", "/metrics")
     return parse_metrics(body.decode())
 
 
 def metrics_ports(cell: cell_module.Cell, instance_id: str) -> dict[str, int]:
-    """Return the metrics port of both daemons of an instance."""
+    """Return the metrics ports of an instance by kind of daemon."""
     return {
         "scheduler": cell.metrics_ports[instance_id],
         "entry": cell.http_ports[instance_id] + 1,
@@ -77,12 +77,12 @@
     config: dict[str, typing.Any] | None = None,
     shards: typing.Collection[str] = SHARDS,
 ) -> list[str]:
-    """Start instances with the design page's poll interval and a config.
+    """Start instances with the poll interval of the design, and a config.
 
     Returns
     -------
     list of str
-        Their ids; all are ready and every shard has an owner.
+        Instance ids; all instances are ready and all shards have owners.
     """
     ids = [f"entry-{number + 1:02d}" for number in range(count)]
     for instance_id in ids:
--- a/bench/_relay.py
+++ b/bench/_relay.py
@@ -1,4 +1,4 @@
-"""A relay on loopback that counts the bytes of a platform stand-in."""
+"""A loopback TCP relay that counts the bytes of a platform stand-in."""
 
 import asyncio
 import collections.abc
@@ -12,14 +12,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Relay:
-    """A running relay.
+    """Port and counters of a running relay.
 
     Attributes
     ----------
     port : int
-        Port on which it listens.
+        Port on which the relay listens.
     bytes_up, bytes_down : int
-        Bytes of HTTP messages towards the stand-in and back.
+        Bytes relayed to the stand-in, and back.
     connections : int
         Connections accepted so far.
     """
@@ -32,7 +32,7 @@
 
 @contextlib.contextmanager
 def relaying(target_port: int) -> collections.abc.Iterator[Relay]:
-    """Relay connections to a loopback port from a thread of its own."""
+    """Relay connections to a loopback port in a separate thread."""
     relay = Relay()
     loop = asyncio.new_event_loop()
     ready = threading.Event()
@@ -50,10 +50,10 @@
         ready.set()
         await stop.wait()
         server.close()
-        others = asyncio.all_tasks() - {asyncio.current_task()}
-        for each in others:
+        connection_tasks = asyncio.all_tasks() - {asyncio.current_task()}
+        for each in connection_tasks:
             each.cancel()
-        await asyncio.gather(*others, return_exceptions=True)
+        await asyncio.gather(*connection_tasks, return_exceptions=True)
 
     thread = threading.Thread(
         target=lambda: loop.run_until_complete(serve()), daemon=True
@@ -83,7 +83,7 @@
         writer.close()
         return
 
-    async def pump(
+    async def copy(
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
         count: collections.abc.Callable[[int], None],
@@ -101,9 +101,10 @@
     def count_down(size: int) -> None:
         relay.bytes_down += size
 
-    # The relay's end cancels this; asyncio.start_server would log that.
+    # Stopping the relay cancels this task; asyncio.start_server would log the
+    # cancellation.
     with contextlib.suppress(asyncio.CancelledError):
         await asyncio.gather(
-            pump(reader, up_writer, count_up),
-            pump(up_reader, writer, count_down),
+            copy(reader, up_writer, count_up),
+            copy(up_reader, writer, count_down),
         )
--- a/bench/_request_path.py
+++ b/bench/_request_path.py
@@ -1,4 +1,4 @@
-"""The request path over a bare forwarder on the same runners."""
+"""Cost of the request path, against a bare forwarder on the same runners."""
 
 import asyncio
 import collections.abc
@@ -21,23 +21,23 @@
 CONCURRENCY = 16
 REQUESTS = 2_500
 WARM_UP = 300
-# Bare and ours take turns in both orders, against drift of the machine.
-ORDER = ("bare", "ours", "ours", "bare", "bare", "ours", "ours", "bare")
-PACED_PER_S = 100
-PACED_REQUESTS = 600
+# The order of both sides alternates, so that drift of the machine cancels out.
+ROUND_ORDER = ("bare", "ours", "ours", "bare", "bare", "ours", "ours", "bare")
+OPEN_LOOP_PER_S = 100
+OPEN_LOOP_REQUESTS = 600
 COMMAND = "python -m bench request_path"
 
 
 @attrs.frozen(kw_only=True)
 class Round:
-    """One round of requests.
+    """Results of one round of requests.
 
     Attributes
     ----------
     per_cpu_s : float
         Requests per CPU second of the forwarding processes.
     per_cpu_s_with_runners : float
-        The same, with the runners' CPU added.
+        The same, with the CPU time of the runners added.
     latencies_s : list of float
         Latency of each request.
     """
@@ -48,7 +48,7 @@
 
 
 def measure(directory: pathlib.Path) -> list[_figures.Figure]:
-    """Return the figures of the request path."""
+    """Measure the figures of the request path."""
     with harness_module.running(directory) as harness:
         cell = cell_module.make_cell(
             harness,
@@ -91,10 +91,10 @@
     )
     numbers = itertools.count()
     rounds: dict[str, list[Round]] = {"bare": [], "ours": []}
-    paced: dict[str, list[float]] = {"bare": [], "ours": []}
+    open_loop_latencies: dict[str, list[float]] = {"bare": [], "ours": []}
     for side in ("bare", "ours"):
         await _closed_loop(client, ports[side], numbers, WARM_UP)
-    for side in ORDER:
+    for side in ROUND_ORDER:
         before = [_processes.cpu_s(pid) for pid in (*pids[side], runner)]
         latencies = await _closed_loop(client, ports[side], numbers, REQUESTS)
         after = [_processes.cpu_s(pid) for pid in (*pids[side], runner)]
@@ -107,22 +107,24 @@
             )
         )
     for side in ("bare", "ours", "bare", "ours"):
-        paced[side] += await _paced(client, ports[side], numbers)
+        open_loop_latencies[side] += await _open_loop(
+            client, ports[side], numbers
+        )
     client.close()
-    return make_figures(rounds, paced)
+    return make_figures(rounds, open_loop_latencies)
 
 
 def make_figures(
-    rounds: dict[str, list[Round]], paced: dict[str, list[float]]
+    rounds: dict[str, list[Round]], open_loop_latencies: dict[str, list[float]]
 ) -> list[_figures.Figure]:
-    """Return the figures of rounds in alternating order.
+    """Return the figures of paired rounds.
 
     Parameters
     ----------
     rounds : dict of str to list of Round
         Rounds of ``ours`` and ``bare``, paired by position.
-    paced : dict of str to list of float
-        Latencies in seconds at a moderate rate.
+    open_loop_latencies : dict of str to list of float
+        Latencies in seconds at a fixed request rate, by side.
     """
     pairs = list(zip(rounds["ours"], rounds["bare"], strict=True))
     figures = [
@@ -161,8 +163,8 @@
         ),
     ]
     for q in (50, 99):
-        ours = _figures.percentile(paced["ours"], q) * 1000
-        bare = _figures.percentile(paced["bare"], q) * 1000
+        ours = _figures.percentile(open_loop_latencies["ours"], q) * 1000
+        bare = _figures.percentile(open_loop_latencies["bare"], q) * 1000
         figures.append(
             _figures.Figure(
                 name=f"request_added_p{q}_ms",
@@ -170,7 +172,7 @@
                 baselines={"whole, ours": ours, "whole, bare": bare},
                 unit="ms",
                 command=COMMAND,
-                note=f"at {PACED_PER_S} requests/s",
+                note=f"at {OPEN_LOOP_PER_S} requests/s",
             )
         )
     return figures
@@ -183,25 +185,25 @@
     count: int,
 ) -> list[float]:
     latencies: list[float] = []
-    left = iter(range(count))
+    remaining = iter(range(count))
 
     async def call() -> None:
-        for _ in left:
+        for _ in remaining:
             latencies.append(await _send(client, port, next(numbers)))
 
     await asyncio.gather(*(call() for _ in range(CONCURRENCY)))
     return latencies
 
 
-async def _paced(
+async def _open_loop(
     client: curl_httpclient.CurlAsyncHTTPClient,
     port: int,
     numbers: collections.abc.Iterator[int],
 ) -> list[float]:
     started = time.monotonic()
     tasks = []
-    for number in range(PACED_REQUESTS // 2):
-        due = started + number / PACED_PER_S
+    for number in range(OPEN_LOOP_REQUESTS // 2):
+        due = started + number / OPEN_LOOP_PER_S
         await asyncio.sleep(max(0.0, due - time.monotonic()))
         tasks.append(asyncio.ensure_future(_send(client, port, next(numbers))))
     return await asyncio.gather(*tasks)
--- a/bench/_takeovers.py
+++ b/bench/_takeovers.py
@@ -1,4 +1,4 @@
-"""Failover of the workers' pool, and the spread of config versions."""
+"""Failover time of the worker pool, and propagation time of config patches."""
 
 import pathlib
 import time
@@ -10,21 +10,21 @@
 from standins import harness as harness_module
 
 SIZES = (3, 8)
-TRIES = 4
+FAILOVERS = 4
 PATCHES = 10
 POOL = "workers/0"
 TIMEOUT_S = 20.0
 POLL_S = 0.01
-# Pause until the voters of a new cell or a restarted one are complete: a
-# voter neither promises nor consents for a promise time after its start.
+# Delay until all voters of a new or restarted cell take part: a voter neither
+# promises nor consents during one promise time after its start.
 SETTLE_S = 7.0
-# Pause between two tries, so that the restarted voter answers again.
+# Delay between two failovers, so that the restarted voter responds again.
 RETRY_S = 4.0
-FAILOVER_COMMAND = "python -m bench takeovers"
+COMMAND = "python -m bench takeovers"
 
 
 def measure(directory: pathlib.Path) -> list[_figures.Figure]:
-    """Return the figures of failovers and config versions."""
+    """Measure failovers and the propagation of config patches."""
     figures = []
     for size in SIZES:
         with harness_module.running(directory / str(size)) as harness:
@@ -40,51 +40,53 @@
             ids = _processes.start_instances(cell, size)
             time.sleep(SETTLE_S)
             if size == SIZES[-1]:
-                tries = [_time_patch(cell, ids, n) for n in range(PATCHES)]
+                patch_times_s = [
+                    _measure_patch(cell, ids, n) for n in range(PATCHES)
+                ]
                 figures.append(
                     _figures.from_samples(
                         f"config_in_force_s_{size}",
-                        tries,
+                        patch_times_s,
                         "s",
                         target=1.0,
-                        command=FAILOVER_COMMAND,
+                        command=COMMAND,
                         note="patch accepted until the metrics of the last"
                         " of all daemons show it",
                     )
                 )
-            kills = [
-                _time_failover(cell, ids, f"kill{n}", pause=False)
-                for n in range(TRIES)
+            kill_times_s = [
+                _measure_failover(cell, ids, f"kill{n}", pause=False)
+                for n in range(FAILOVERS)
             ]
-            pauses = [
-                _time_failover(cell, ids, f"pause{n}", pause=True)
-                for n in range(TRIES // 2)
+            pause_times_s = [
+                _measure_failover(cell, ids, f"pause{n}", pause=True)
+                for n in range(FAILOVERS // 2)
             ]
         suffix = "" if size == SIZES[-1] else f"_{size}"
         figures += [
             _figures.from_samples(
                 f"failover{suffix}_s",
-                kills,
+                kill_times_s,
                 "s",
                 target=3.0,
-                command=FAILOVER_COMMAND,
+                command=COMMAND,
                 note=f"{size} instances; owner killed until a job submitted"
                 " then has a task on a worker; worst"
-                f" {max(kills):.2f}",
+                f" {max(kill_times_s):.2f}",
             ),
             _figures.from_samples(
                 f"failover_paused{suffix}_s",
-                pauses,
+                pause_times_s,
                 "s",
                 target=3.0,
-                command=FAILOVER_COMMAND,
+                command=COMMAND,
                 note=f"{size} instances; owner paused with SIGSTOP",
             ),
         ]
     return figures
 
 
-def _time_failover(
+def _measure_failover(
     cell: cell_module.Cell, ids: list[str], job_id: str, *, pause: bool
 ) -> float:
     owner = cell_module.owner_of(cell, ids[0], POOL)
@@ -94,7 +96,7 @@
     for process in daemons:
         (harness_module.pause if pause else harness_module.kill)(process)
     try:
-        _place(cell, survivor, job_id, started)
+        _submit_until_running(cell, survivor, job_id, started)
         return time.monotonic() - started
     finally:
         for process in daemons:
@@ -107,10 +109,10 @@
         time.sleep(RETRY_S)
 
 
-def _place(
+def _submit_until_running(
     cell: cell_module.Cell, instance_id: str, job_id: str, started: float
 ) -> None:
-    """Submit a job until it is accepted, and wait until it runs."""
+    """Submit a job, with retries, and wait until it runs."""
     body: dict[str, typing.Any] = {
         "id": job_id,
         "kind": "batch",
@@ -137,11 +139,15 @@
             ):
                 return
         time.sleep(POLL_S)
-    raise TimeoutError(f"{job_id} does not run after {TIMEOUT_S} s: {answer}")
+    raise TimeoutError(
+        f"{job_id} is not running after {TIMEOUT_S} s: {answer}"
+    )
 
 
-def _time_patch(cell: cell_module.Cell, ids: list[str], number: int) -> float:
-    """Return the seconds from a patch's acceptance to its last adoption."""
+def _measure_patch(
+    cell: cell_module.Cell, ids: list[str], number: int
+) -> float:
+    """Return the seconds until all daemons have adopted a config patch."""
     version = cell_module.patch_config(
         cell,
         ids[number % len(ids)],
@@ -150,7 +156,7 @@
     accepted = time.monotonic()
     for instance_id in ids:
         for port in _processes.metrics_ports(cell, instance_id).values():
-            while _version(port) < version:
+            while _config_version(port) < version:
                 if time.monotonic() - accepted > TIMEOUT_S:
                     raise TimeoutError(
                         f"version {version} is not in force at {instance_id}"
@@ -159,6 +165,6 @@
     return time.monotonic() - accepted
 
 
-def _version(port: int) -> float:
+def _config_version(port: int) -> float:
     samples = _processes.read_metrics(port)
     return samples["chestnuttide_config_version", ""]
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Renews the tables of docs/CAPACITY.md from the bench's figures.
+"""Updates the tables of docs/CAPACITY.md from the figures of the bench.
 
 ``python -m bench.capacity`` reads docs/figures.jsonl, a committed copy of
-build/bench.jsonl, and writes the tables between the page's markers.
-``--check`` only tells whether the page is up to date.
+build/bench.jsonl, and writes the tables between the markers of the page.
+``--check`` only checks whether the page is up to date.
 """
 
 import collections.abc
@@ -16,40 +16,41 @@
 _DOCS = pathlib.Path(__file__).resolve().parent.parent / "docs"
 PAGE = _DOCS / "CAPACITY.md"
 FIGURES = _DOCS / "figures.jsonl"
-BEGIN = "<!-- {name}: made by python -m bench.capacity -->"
-END = "<!-- end of {name} -->"
+BEGIN_MARKER = "<!-- {name}: made by python -m bench.capacity -->"
+END_MARKER = "<!-- end of {name} -->"
 
 SECONDS_PER_DAY = 86_400
 
 
 @attrs.frozen(kw_only=True)
 class Target:
-    """The size to be carried, and how it is laid out.
+    """Size and layout of the deployment to be supported.
 
     Attributes
     ----------
     data_centres, instances_per_data_centre : int
-        Entry instances are spread evenly.
+        Data centres, and entry instances in each.
     workers, pools : int
-        Workers, and the pools that share them.
+        Workers, and the pools into which they are divided.
     tasks : int
         Running tasks.
     starts_per_s : float
-        Task starts at the peak.
+        Task starts per second at peak load.
     request_shards : int
-        Shards of all services.
+        Request shards of all services together.
     config_changes_per_day : int
-        Accepted patches.
+        Accepted config patches.
     failures_per_day, replacements_per_day : int
-        Instances that fail, and that are stopped and replaced.
+        Instances that fail, and instances that are stopped and replaced.
     lease_renew_s : float
-        Seconds between two renewals of an instance's lease.
+        Seconds between two renewals of an instance lease.
     journal_writes_per_s : float
-        Budget of an instance, set so that all stay within the store's rate.
+        Write budget per instance, which keeps the total within the rate limit
+        of the store.
     worker_sync_s : float
         Seconds between two syncs of a worker.
     watch_s : float
-        Seconds that a waiting watch lasts.
+        Duration of a waiting watch in seconds.
     """
 
     data_centres: int = 25
@@ -69,16 +70,16 @@
 
     @property
     def instances(self) -> int:
-        """Entry instances of the cell."""
+        """Number of entry instances of the cell."""
         return self.data_centres * self.instances_per_data_centre
 
     @property
     def shards_per_instance(self) -> float:
-        """Shards that an instance owns on average."""
+        """Mean number of shards per instance."""
         return (self.pools + self.request_shards) / self.instances
 
 
-# Limits of a daemon's control cost, and the figures that stand for them.
+# Figures of the control cost of a daemon: name, title, unit and limit.
 LIMITS: typing.Final = (
     ("control_cpu_percent", "processor", "% of a core", 3.7),
     ("control_rss_mb", "memory", "MB", 128.0),
@@ -87,7 +88,7 @@
 
 
 def main(arguments: collections.abc.Sequence[str]) -> int:
-    """Renew or check the page; returns the exit code.
+    """Update or check the page and return the exit code.
 
     Returns
     -------
@@ -95,21 +96,23 @@
         1 if ``--check`` finds the page out of date, else 0.
     """
     text = PAGE.read_text(encoding="utf-8")
-    renewed = renew(text, read_figures(FIGURES.read_text(encoding="utf-8")))
+    updated = update_tables(
+        text, read_figures(FIGURES.read_text(encoding="utf-8"))
+    )
     if "--check" in arguments:
-        return int(text != renewed)
-    PAGE.write_text(renewed, encoding="utf-8")
+        return int(text != updated)
+    PAGE.write_text(updated, encoding="utf-8")
     return 0
 
 
 def read_figures(text: str) -> dict[str, dict[str, typing.Any]]:
-    """Return the figures in JSON lines, by name."""
+    """Parse figures from JSON lines; return them by name."""
     lines = [json.loads(line) for line in text.splitlines() if line.strip()]
     return {line["name"]: line for line in lines}
 
 
-def renew(text: str, figures: dict[str, dict[str, typing.Any]]) -> str:
-    """Return the page with its tables made anew."""
+def update_tables(text: str, figures: dict[str, dict[str, typing.Any]]) -> str:
+    """Return the page with updated tables."""
     target = Target()
     tables = {
         "control": make_control_table(figures, target),
@@ -117,27 +120,34 @@
         "failures": make_failure_table(figures, target),
     }
     for name, rows in tables.items():
-        begin, end = BEGIN.format(name=name), END.format(name=name)
-        head, _, rest = text.partition(begin)
-        _, _, tail = rest.partition(end)
-        text = "\n".join([head + begin, "", *rows, "", end]) + tail
+        begin_marker, end_marker = (
+            BEGIN_MARKER.format(name=name),
+            END_MARKER.format(name=name),
+        )
+        head, _, rest = text.partition(begin_marker)
+        _, _, tail = rest.partition(end_marker)
+        text = (
+            "\n".join([head + begin_marker, "", *rows, "", end_marker]) + tail
+        )
     return text
 
 
-def fit(points: list[list[float]]) -> tuple[float, float]:
-    """Return intercept and slope of the line through points."""
+def fit_line(points: list[list[float]]) -> tuple[float, float]:
+    """Fit a line by least squares; return intercept and slope."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    sum_of_squares = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = (
+        sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_of_squares
+    )
     return mean_y - slope * mean_x, slope
 
 
 def make_control_table(
     figures: dict[str, dict[str, typing.Any]], target: Target
 ) -> list[str]:
-    """Return the rows of a daemon's control cost, by size."""
+    """Make the table of the control cost of a daemon, by size."""
     rows = [
         f"| per daemon | 3 | 8 | 24 (measured) | slope per instance |"
         f" {target.instances} (extrapolated) | limit | verdict |",
@@ -145,7 +155,7 @@
     ]
     for name, title, unit, limit in LIMITS:
         points = figures[f"{name}_24"]["points"]
-        intercept, slope = fit(points)
+        intercept, slope = fit_line(points)
         at_target = intercept + slope * target.instances
         over = at_target - limit
         verdict = "met" if over <= 0 else f"missed by {over:.3g} {unit}"
@@ -160,7 +170,7 @@
 def make_store_table(
     figures: dict[str, dict[str, typing.Any]], target: Target
 ) -> list[str]:
-    """Return the rows of the store's calls, today and at the target."""
+    """Make the table of store calls, today and at the target size."""
     today = 8
     rows = [
         "| calls/s of all instances | kind | today (8) | target"
@@ -215,12 +225,16 @@
             "1 per instance and change of a member or a shard",
         ),
     ]
-    for title, kind, now, then, how in lines:
-        rows.append(f"| {title} | {kind} | {now:.3g} | {then:.3g} | {how} |")
+    for title, kind, current, at_target, how in lines:
+        rows.append(
+            f"| {title} | {kind} | {current:.3g} | {at_target:.3g} | {how} |"
+        )
     for kind in ("write", "read"):
-        now = sum(line[2] for line in lines if line[1] == kind)
-        then = sum(line[3] for line in lines if line[1] == kind)
-        rows.append(f"| **all** | {kind} | {now:.3g} | {then:.3g} | |")
+        current = sum(line[2] for line in lines if line[1] == kind)
+        at_target = sum(line[3] for line in lines if line[1] == kind)
+        rows.append(
+            f"| **all** | {kind} | {current:.3g} | {at_target:.3g} | |"
+        )
     measured = figures.get("store_calls_per_s_24")
     if measured is not None:
         rows.append(
@@ -233,7 +247,7 @@
 def make_failure_table(
     figures: dict[str, dict[str, typing.Any]], target: Target
 ) -> list[str]:
-    """Return the rows of what each failure costs."""
+    """Make the table of the costs of failures."""
     failover_s = figures["failover_s"]["ours"]
     shards = target.shards_per_instance
     per_centre = target.instances_per_data_centre
@@ -270,7 +284,7 @@
 
 
 def _cell_events_per_day(target: Target) -> float:
-    """Return changes of members and shard records in a day."""
+    """Return the changes of members and shard records per day."""
     per_change = 2 + 2 * target.shards_per_instance
     changes = target.failures_per_day + 2 * target.replacements_per_day
     return changes * per_change
--- a/bench/tests/test_figures.py
+++ b/bench/tests/test_figures.py
@@ -12,7 +12,9 @@
 @pytest.mark.parametrize(
     ("values", "q", "expected"),
     [
-        pytest.param([3.0], 99, 3.0, id="one_value_is_all_percentiles"),
+        pytest.param(
+            [3.0], 99, 3.0, id="single_value_is_not_every_percentile"
+        ),
         pytest.param(range(1, 101), 99, 99, id="p99_of_100_is_the_maximum"),
         pytest.param(range(1, 102), 99, 100, id="p99_of_101_rounds_down"),
         pytest.param([2, 1], 50, 1, id="unsorted_values_give_no_median"),
@@ -32,7 +34,9 @@
 @pytest.mark.parametrize(
     ("ours", "target", "higher", "expected"),
     [
-        pytest.param(1.0, None, False, "", id="no_target_is_judged"),
+        pytest.param(
+            1.0, None, False, "", id="figure_without_target_gets_a_verdict"
+        ),
         pytest.param(1.0, 1.0, False, "met", id="limit_itself_is_missed"),
         pytest.param(1.1, 1.0, False, "missed", id="above_limit_is_met"),
         pytest.param(0.7, 0.7, True, "met", id="floor_itself_is_missed"),
@@ -54,7 +58,7 @@
     assert ("MISSED" in _figures.render(figure)) == (expected == "missed")
 
 
-def test_lines_have_the_agreed_fields() -> None:
+def test_json_lines_have_the_specified_fields() -> None:
     figure = _figures.from_samples(
         "failover_s",
         [2.0, 1.0, 4.0],
@@ -76,9 +80,19 @@
 @pytest.mark.parametrize(
     ("points", "slope", "growth"),
     [
-        pytest.param([(1, 2), (3, 6)], 2.0, 1.0, id="linear"),
-        pytest.param([(1, 5), (10, 5)], 0.0, 0.0, id="constant"),
-        pytest.param([(1, 1), (2, 4), (4, 16)], 36 / 7, 2.0, id="quadratic"),
+        pytest.param(
+            [(1, 2), (3, 6)],
+            2.0,
+            1.0,
+            id="linear_points_do_not_grow_by_power_1",
+        ),
+        pytest.param([(1, 5), (10, 5)], 0.0, 0.0, id="constant_points_grow"),
+        pytest.param(
+            [(1, 1), (2, 4), (4, 16)],
+            36 / 7,
+            2.0,
+            id="quadratic_points_do_not_grow_by_power_2",
+        ),
     ],
 )
 def test_slopes(points: list, slope: float, growth: float) -> None:
@@ -86,13 +100,13 @@
     assert _figures.growth(points) == pytest.approx(growth)
 
 
-def test_cpu_time_is_read_behind_a_name_with_spaces_and_parentheses() -> None:
+def test_cpu_time_is_parsed_after_name_with_spaces_and_parentheses() -> None:
     fields = ["S", *"0 0 0 0 0 0 0 0 0 0".split(), "150", "50", "9", "9"]
     stat = f"17 (a ) b) {' '.join(fields)}"
     assert _processes.parse_cpu_s(stat) == 200 / _processes._TICKS_PER_S
 
 
-def test_metrics_are_read_with_and_without_labels() -> None:
+def test_metrics_are_parsed_with_and_without_labels() -> None:
     text = (
         "# HELP chestnuttide_config_version x\n"
         "chestnuttide_config_version 4\n"
@@ -104,7 +118,7 @@
     }
 
 
-def test_ratio_pairs_rounds_and_counts_runners_apart() -> None:
+def test_ratio_pairs_rounds_and_counts_runners_separately() -> None:
     def make_round(per_cpu_s: float) -> _request_path.Round:
         return _request_path.Round(
             per_cpu_s=per_cpu_s,
@@ -127,7 +141,7 @@
     assert by_name["request_added_p99_ms"].ours == pytest.approx(2.0)
 
 
-def test_control_cost_takes_the_worst_daemon_and_all_bytes() -> None:
+def test_control_cost_reports_worst_daemon_and_total_bytes() -> None:
     def make_cost(count: int) -> _control_cost.Cost:
         return _control_cost.Cost(
             instances=count,
@@ -150,8 +164,8 @@
     assert ours["store_calls_per_s_slope"] == pytest.approx(5.0)
 
 
-def test_rates_leave_out_counters_that_stand_still() -> None:
-    rates = _control_cost.difference(
+def test_rates_omit_unchanged_counters() -> None:
+    rates = _control_cost.counter_rates(
         {"get": 5, "watch": 1}, {"get": 5, "watch": 3, "write": 4}, 2.0
     )
     assert rates == {"watch": 1.0, "write": 2.0}
