--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A demonstration of a whole cell on loopback."""
+"""Demonstration of a complete cell on loopback."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the demonstration; the last line is a JSON object.
+"""Runs the demonstration; the last line of output is a JSON object.
 
-Exit code 0 if nothing was lost, doubled or overrun and all jobs did what
-they should, else 1.
+The exit code is 0 if no request was lost, nothing ran twice, no limit was
+exceeded and all jobs reached their expected state, else 1.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from standins import harness as harness_module
 
 REQUESTS = 500
-# One of so many requests is not idempotent, and one of so many urgent.
+# Every nth request is not idempotent, and every nth is urgent.
 NON_IDEMPOTENT_EVERY = 10
 URGENT_EVERY = 7
 SEND_S = 8.0
@@ -78,49 +78,49 @@
 
 def main() -> int:
     """Run the demonstration and return the exit code."""
-    started = time.monotonic()
+    start = time.monotonic()
     with (
         tempfile.TemporaryDirectory(prefix="chestnuttide-demo-") as directory,
         harness_module.running(pathlib.Path(directory)) as harness,
     ):
         summary = _run(harness)
-    say(f"done after {time.monotonic() - started:.1f} s")
+    report(f"done after {time.monotonic() - start:.1f} s")
     print(json.dumps(summary), flush=True)
     return 0 if summary["ok"] else 1
 
 
-def say(text: str) -> None:
-    """Print one line of the account."""
+def report(text: str) -> None:
+    """Print one line of the progress report."""
     print(f"  {text}", flush=True)
 
 
 def _run(harness: harness_module.Harness) -> dict[str, typing.Any]:
-    cell = _start(harness)
+    cell = _start_cell(harness)
     version = cell_module.patch_config(cell, INSTANCES[0], CONFIG)
-    say(f"config patch accepted as version {version}")
+    report(f"config patch accepted as version {version}")
     cell_module.wait_until_ready(cell, INSTANCES)
     cell_module.wait_for_owners(cell, INSTANCES[0], SHARDS)
-    victim = cell_module.owner_of(cell, INSTANCES[0], "workers/0")
-    say(f"all shards have owners; {victim} owns the workers")
-    survivors = [each for each in INSTANCES if each != victim]
+    owner_id = cell_module.owner_of(cell, INSTANCES[0], "workers/0")
+    report(f"all shards have owners; {owner_id} owns the workers")
+    survivors = [each for each in INSTANCES if each != owner_id]
     for job_id, job in JOBS.items():
         body = {"id": job_id, "team": "makers", **job}
         status, answer = cell_module.call(
             cell, survivors[0], "POST", "/v1/jobs", body
         )
-        say(f"{job['kind']} job {job_id}: {status} {answer['state']}")
+        report(f"{job['kind']} job {job_id}: {status} {answer['state']}")
     tally = _callers.Tally()
-    asyncio.run(_send_requests(cell, victim, tally))
-    say(
+    asyncio.run(_send_requests(cell, owner_id, tally))
+    report(
         f"{tally.outcomes['answered']} of {tally.sent} requests answered:"
         f" {_account.describe_latencies(tally)}"
     )
     for reason, count in sorted(tally.reasons.items()):
-        say(f"refused as {reason}: {count}")
-    jobs_ok = _await_jobs(cell, survivors[0])
+        report(f"refused as {reason}: {count}")
+    jobs_ok = _wait_for_jobs(cell, survivors[0])
     _, config = cell_module.call(cell, survivors[0], "GET", "/v1/config")
     evidence = _account.count_evidence(cell)
-    say(
+    report(
         f"counted at the stand-ins: {evidence['runs']} requests ran,"
         f" {evidence['tasks_placed']} tasks started,"
         f" {evidence['doubled']} doubled, {evidence['overruns']} overruns"
@@ -128,15 +128,15 @@
     for instance_id in survivors:
         for process in cell_module.daemons(cell, instance_id):
             code = harness_module.terminate(process)
-            say(f"{process.name} stopped with exit code {code}")
+            report(f"{process.name} stopped with exit code {code}")
             jobs_ok = jobs_ok and code == 0
     return _account.summarize(
         tally, evidence, config_version=config["version"], jobs_ok=jobs_ok
     )
 
 
-def _start(harness: harness_module.Harness) -> cell_module.Cell:
-    say("starting store, instance list, 6 workers, 8 runners, 3 instances")
+def _start_cell(harness: harness_module.Harness) -> cell_module.Cell:
+    report("starting store, instance list, 6 workers, 8 runners, 3 instances")
     group = cell_module.Group
     cell = cell_module.make_cell(
         harness,
@@ -159,21 +159,21 @@
 
 
 async def _send_requests(
-    cell: cell_module.Cell, victim: str, tally: _callers.Tally
+    cell: cell_module.Cell, owner_id: str, tally: _callers.Tally
 ) -> None:
     rng = random.Random(SEED)
     client = _callers.make_client()
     tasks = []
-    killed = False
-    started = time.monotonic()
+    is_killed = False
+    start = time.monotonic()
     for number in range(REQUESTS):
-        at_s = number * SEND_S / REQUESTS
-        if at_s >= KILL_AT_S and not killed:
-            killed = True
-            cell_module.kill_instance(cell, victim)
-            say(f"{victim} killed after {number} requests")
-        await asyncio.sleep(max(0.0, started + at_s - time.monotonic()))
-        wanted = _callers.Wanted(
+        send_at_s = number * SEND_S / REQUESTS
+        if send_at_s >= KILL_AT_S and not is_killed:
+            is_killed = True
+            cell_module.kill_instance(cell, owner_id)
+            report(f"{owner_id} killed after {number} requests")
+        await asyncio.sleep(max(0.0, start + send_at_s - time.monotonic()))
+        request = _callers.CallerRequest(
             request_id=f"request-{number}",
             service="layout" if number % 3 else "render",
             idempotent=number % NON_IDEMPOTENT_EVERY != 0,
@@ -184,15 +184,15 @@
         rng.shuffle(ports)
         tasks.append(
             asyncio.ensure_future(
-                _callers.run_request(client, ports, wanted, tally)
+                _callers.run_request(client, ports, request, tally)
             )
         )
     await asyncio.gather(*tasks)
     client.close()
 
 
-def _await_jobs(cell: cell_module.Cell, instance_id: str) -> bool:
-    """Wait until batch and gang have ended and the service is up."""
+def _wait_for_jobs(cell: cell_module.Cell, instance_id: str) -> bool:
+    """Wait until batch and gang have succeeded and the service runs."""
 
     def read(job_id: str) -> dict[str, typing.Any]:
         return cell_module.call(
@@ -210,10 +210,10 @@
     try:
         cell_module.wait_for(cell, is_done, "all jobs", JOB_TIMEOUT_S)
     except TimeoutError as error:
-        say(str(error))
+        report(str(error))
     for job_id in JOBS:
         job = read(job_id)
-        say(
+        report(
             f"job {job_id}: {job.get('state')},"
             f" {job.get('tasks_succeeded')} tasks succeeded,"
             f" {job.get('tasks_running')} running"
--- a/demo/_account.py
+++ b/demo/_account.py
@@ -1,4 +1,4 @@
-"""The account of the demonstration, counted at the stand-ins."""
+"""Summary of the demonstration, from evidence recorded by the stand-ins."""
 
 import statistics
 import typing
@@ -10,14 +10,14 @@
 
 
 def count_evidence(cell: cell_module.Cell) -> dict[str, typing.Any]:
-    """Return what runners and workers have seen.
+    """Return counts from the evidence of runners and workers.
 
     Returns
     -------
     dict
-        ``doubled`` non-idempotent ids and tasks that ran twice at once,
-        ``overruns`` of slots, connections and capacity, and
-        ``tasks_placed``.
+        ``doubled``: non-idempotent requests that ran twice, and tasks with
+        concurrent runs; ``overruns`` of slots, connections and capacity;
+        ``tasks_placed``; and ``runs`` of requests.
     """
     runners = cell_module.runner_evidence(cell)
     workers = cell_module.worker_evidence(cell)
@@ -41,7 +41,7 @@
     config_version: int,
     jobs_ok: bool,
 ) -> dict[str, typing.Any]:
-    """Return the JSON object of the last line."""
+    """Return the JSON object for the last line of output."""
     lost = tally.outcomes["lost"] + tally.wrong
     summary = {
         "requests": tally.sent,
@@ -60,7 +60,7 @@
 
 
 def describe_latencies(tally: _callers.Tally) -> str:
-    """Return median, p99 and maximum of the answered requests in words."""
+    """Format median, p99 and maximum latency of the answered requests."""
     if len(tally.latencies_s) < 2:
         return "no latencies"
     ordered = sorted(tally.latencies_s)
--- a/demo/_callers.py
+++ b/demo/_callers.py
@@ -1,6 +1,7 @@
 """Callers of the demonstration.
 
-They retry at another entry, as behind the platform's balancer.
+They retry at another entry, as they would behind the load balancer of the
+platform.
 """
 
 import asyncio
@@ -13,27 +14,27 @@
 from tornado import httpclient
 
 REQUEST_TIMEOUT_S = 8.0
-# Pause before a caller whose entry does not answer asks another one.
+# Delay before a caller whose entry does not answer retries at another entry.
 RETRY_S = 0.1
 CALL_LIMIT_S = 10.0
 
 
 @attrs.define(kw_only=True)
 class Tally:
-    """What became of the requests.
+    """Outcomes of the requests.
 
     Attributes
     ----------
     sent : int
-        Requests that callers wanted.
+        Requests that callers sent, not counting retries.
     outcomes : Counter
-        ``answered``, ``refused``, ``unknown`` or ``lost``.
+        Number of requests ``answered``, ``refused``, ``unknown`` or ``lost``.
     reasons : Counter
-        Codes of refusals.
+        Number of refused or unknown requests by error code.
     wrong : int
-        Answers that belong to another request.
+        Number of answers that belong to another request.
     latencies_s : list of float
-        Seconds to the answer of each answered request.
+        Seconds from first attempt to answer, of the answered requests.
     """
 
     sent: int = 0
@@ -44,21 +45,21 @@
 
 
 @attrs.frozen(kw_only=True)
-class Wanted:
-    """A request that a caller wants answered.
+class CallerRequest:
+    """A request to be sent by a caller.
 
     Attributes
     ----------
     request_id : str
-        Its id.
+        Id of the request.
     service : str
-        Its service.
+        Service that answers the request.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     urgent : bool
-        Whether it goes first.
+        Whether the request is served before others.
     run_ms : float
-        Time that the target needs, in milliseconds.
+        Run time at the target in milliseconds.
     """
 
     request_id: str
@@ -69,7 +70,7 @@
 
 
 def make_client() -> curl_httpclient.CurlAsyncHTTPClient:
-    """Return the HTTP client of all callers."""
+    """Return the HTTP client that all callers share."""
     return curl_httpclient.CurlAsyncHTTPClient(
         force_instance=True, max_clients=200
     )
@@ -78,10 +79,10 @@
 async def run_request(
     client: curl_httpclient.CurlAsyncHTTPClient,
     ports: list[int],
-    wanted: Wanted,
+    request: CallerRequest,
     tally: Tally,
 ) -> None:
-    """Send one request until it is answered or its time is over.
+    """Send a request, with retries, until it is decided or times out.
 
     Parameters
     ----------
@@ -89,44 +90,44 @@
         The HTTP client.
     ports : list of int
         Ports of the entries, the preferred one first.
-    wanted : Wanted
+    request : CallerRequest
         The request.
     tally : Tally
-        Takes the outcome.
+        Records the outcome.
     """
     tally.sent += 1
     started = time.monotonic()
     deadline_ms = int((time.time() + REQUEST_TIMEOUT_S) * 1000)
     body = json.dumps(
         {
-            "id": wanted.request_id,
+            "id": request.request_id,
             "team": "makers",
-            "urgent": wanted.urgent,
-            "idempotent": wanted.idempotent,
+            "urgent": request.urgent,
+            "idempotent": request.idempotent,
             "deadline_unix_ms": deadline_ms,
             "payload": {
-                "run_ms": wanted.run_ms,
+                "run_ms": request.run_ms,
                 "size": 64,
-                "idempotent": wanted.idempotent,
+                "idempotent": request.idempotent,
             },
         }
     )
-    turn = 0
+    attempts = 0
     while time.monotonic() - started < CALL_LIMIT_S:
-        port = ports[turn % len(ports)]
-        turn += 1
-        url = f"http://127.0.0.1:{port}/v1/services/{wanted.service}/requests"
+        port = ports[attempts % len(ports)]
+        attempts += 1
+        url = f"http://127.0.0.1:{port}/v1/services/{request.service}/requests"
         response = await _fetch(client, url, body)
         if response is None:
             await asyncio.sleep(RETRY_S)
             continue
         if response.code == 200:
-            _take_answer(wanted, response, tally, started)
+            _record_answer(request, response, tally, started)
             return
         code, run_state = _read_error(response)
-        if code == "duplicate_id" and turn > 1:
-            # The entry died after it had passed the request on.
-            if await _fetch_answer(client, port, wanted, tally, started):
+        if code == "duplicate_id" and attempts > 1:
+            # An earlier entry failed after it had forwarded the request.
+            if await _fetch_answer(client, port, request, tally, started):
                 return
             continue
         tally.reasons[code] += 1
@@ -155,13 +156,13 @@
 async def _fetch_answer(
     client: curl_httpclient.CurlAsyncHTTPClient,
     port: int,
-    wanted: Wanted,
+    request: CallerRequest,
     tally: Tally,
     started: float,
 ) -> bool:
     url = (
-        f"http://127.0.0.1:{port}/v1/services/{wanted.service}"
-        f"/requests/{wanted.request_id}/answer"
+        f"http://127.0.0.1:{port}/v1/services/{request.service}"
+        f"/requests/{request.request_id}/answer"
     )
     response = await _fetch(client, url, None)
     if response is None or response.code != 200:
@@ -169,7 +170,7 @@
         return False
     document = json.loads(response.body)
     if "request_id" in document:
-        _take_answer(wanted, response, tally, started)
+        _record_answer(request, response, tally, started)
         return True
     if document.get("state") == "outcome_unknown":
         tally.outcomes["unknown"] += 1
@@ -179,14 +180,14 @@
     return False
 
 
-def _take_answer(
-    wanted: Wanted,
+def _record_answer(
+    request: CallerRequest,
     response: httpclient.HTTPResponse,
     tally: Tally,
     started: float,
 ) -> None:
     answer = json.loads(response.body)
-    if answer["request_id"] != wanted.request_id:
+    if answer["request_id"] != request.request_id:
         tally.wrong += 1
     tally.outcomes["answered"] += 1
     tally.latencies_s.append(time.monotonic() - started)
