--- a/bench/_baselines.py
+++ b/bench/_baselines.py
@@ -251,11 +251,11 @@
     still_waiting = []
     for item in run.waiting:
         _number, job_id, group = item
-        group_size = _need(run, job_id), len(group)
-        if group_size in unplaceable:
+        demand = _need(run, job_id), len(group)
+        if demand in unplaceable:
             still_waiting.append(item)
         elif not _try_start(run, job_id, group):
-            unplaceable.add(group_size)
+            unplaceable.add(demand)
             still_waiting.append(item)
     run.waiting = still_waiting
 
--- a/bench/_policies.py
+++ b/bench/_policies.py
@@ -120,7 +120,7 @@
 
 
 def lower_bound(needs: list[_baselines.Need], capacity: list[int]) -> int:
-    """Return a lower bound on the number of equal workers for needs.
+    """Return a lower bound on the equal workers required by needs.
 
     Raises
     ------
--- a/bench/_replay.py
+++ b/bench/_replay.py
@@ -287,13 +287,13 @@
         return
     while context.inbox:
         for output in context.pool_filter(context.inbox[0], context.now):
-            _carry_out(context, output)
+            _execute_output(context, output)
         context.inbox.popleft()
         if not context.inbox and jobs.is_busy(context.state, context.now):
             context.inbox.append(jobs.Tick())
 
 
-def _carry_out(context: _Context, output: object) -> None:
+def _execute_output(context: _Context, output: object) -> None:
     match output:
         case jobs.AppendEvent():
             context.inbox.append(jobs.JournalDurable(tokens=(output.token,)))
--- a/bench/_request_path.py
+++ b/bench/_request_path.py
@@ -98,11 +98,13 @@
         before = [_processes.cpu_s(pid) for pid in (*pids[side], runner)]
         latencies = await _closed_loop(client, ports[side], numbers, REQUESTS)
         after = [_processes.cpu_s(pid) for pid in (*pids[side], runner)]
-        used = [end - begin for begin, end in zip(before, after, strict=True)]
+        used_s = [
+            end - start for start, end in zip(before, after, strict=True)
+        ]
         rounds[side].append(
             Round(
-                per_cpu_s=REQUESTS / sum(used[:-1]),
-                per_cpu_s_with_runners=REQUESTS / sum(used),
+                per_cpu_s=REQUESTS / sum(used_s[:-1]),
+                per_cpu_s_with_runners=REQUESTS / sum(used_s),
                 latencies_s=latencies,
             )
         )
